--- a/balancer/src/main/java/dewplank/balancer/Settings.java
+++ b/balancer/src/main/java/dewplank/balancer/Settings.java
@@ -120,7 +120,7 @@
      * @param slowStartOverloadFactor the load, as a multiple of its current capacity, at which a server
      *     fails
      * @param slowStartOverloadMs how long a server withstands that load
-     * @param onlyDrainingIsBinding whether a server may still be used if it was removed from the list
+     * @param allowsRemovedServers whether a server may still be used if it was removed from the list
      *     without draining first
      * @param rejectedMayHaveRun whether a server may reject a request after starting to execute it
      */
@@ -130,7 +130,7 @@
             double slowStartInitialShare,
             double slowStartOverloadFactor,
             double slowStartOverloadMs,
-            boolean onlyDrainingIsBinding,
+            boolean allowsRemovedServers,
             boolean rejectedMayHaveRun) {}
 
     /**
--- a/balancer/src/main/java/dewplank/balancer/adaptive/EndpointTable.java
+++ b/balancer/src/main/java/dewplank/balancer/adaptive/EndpointTable.java
@@ -67,7 +67,7 @@
      * server that was removed without draining stays in use if the settings allow it.
      */
     boolean isListed(ServerState server) {
-        return !server.wasDraining && (!server.isRemoved || settings.safety().onlyDrainingIsBinding());
+        return !server.wasDraining && (!server.isRemoved || settings.safety().allowsRemovedServers());
     }
 
     private ServerState newServer(String id) {
--- a/balancer/src/test/java/dewplank/balancer/adaptive/EndpointListTest.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/EndpointListTest.java
@@ -42,8 +42,8 @@
     }
 
     @Test
-    void aRemovedServerStaysInUseIfOnlyDrainingIsBinding() {
-        BalancerFixture fixture = BalancerFixture.withServers(settings().onlyDrainingIsBinding(true), 1);
+    void aRemovedServerStaysInUseIfTheSettingsAllowRemovedServers() {
+        BalancerFixture fixture = BalancerFixture.withServers(settings().allowsRemovedServers(true), 1);
         fixture.updateEndpoints(UpdateKind.FULL);
         assertEquals("s0", fixture.serve("read", 10));
         fixture.updateEndpoints(UpdateKind.INCREMENTAL, endpoint("s0", Availability.DRAINING));
@@ -54,7 +54,7 @@
     /** Wrong lists: servers that do not exist, running servers that are missing, an outdated list. */
     @Test
     void outcomesOverrideAWrongList() {
-        BalancerFixture fixture = BalancerFixture.withServers(settings().onlyDrainingIsBinding(true), 4);
+        BalancerFixture fixture = BalancerFixture.withServers(settings().allowsRemovedServers(true), 4);
         for (int request = 0; request < 40; request++) {
             fixture.serve("read", 10);
         }
--- a/balancer/src/test/java/dewplank/balancer/adaptive/RecordedWorkload.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/RecordedWorkload.java
@@ -15,7 +15,7 @@
             .endpointListIsPushed(false)
             .serversAreRated(true)
             .maxStreamsPerConnection(1)
-            .onlyDrainingIsBinding(true)),
+            .allowsRemovedServers(true)),
 
     HEDGING(baseSettings()
             .classes(read(0), act(Idempotency.KEYED, DeduplicationScope.ALL), pay(), stream())
--- a/balancer/src/test/java/dewplank/balancer/adaptive/SettingsBuilder.java
+++ b/balancer/src/test/java/dewplank/balancer/adaptive/SettingsBuilder.java
@@ -51,7 +51,7 @@
     private double idleTimeoutMs = 15_000;
     private int maxStreamsPerConnection = 100;
     private double slowStartMs = 10_000;
-    private boolean onlyDrainingIsBinding;
+    private boolean allowsRemovedServers;
     private boolean rejectedMayHaveRun;
     private double crossZonePrice;
     private double handshakePrice;
@@ -161,8 +161,8 @@
         return this;
     }
 
-    SettingsBuilder onlyDrainingIsBinding(boolean isBinding) {
-        onlyDrainingIsBinding = isBinding;
+    SettingsBuilder allowsRemovedServers(boolean isBinding) {
+        allowsRemovedServers = isBinding;
         return this;
     }
 
@@ -253,7 +253,7 @@
                 SLOW_START_INITIAL_SHARE,
                 SLOW_START_OVERLOAD_FACTOR,
                 SLOW_START_OVERLOAD_MS,
-                onlyDrainingIsBinding,
+                allowsRemovedServers,
                 rejectedMayHaveRun);
     }
 }
--- a/cli/src/main/java/dewplank/LoadCommands.java
+++ b/cli/src/main/java/dewplank/LoadCommands.java
@@ -8,7 +8,7 @@
 import dewplank.lab.load.Schedule;
 import dewplank.lab.load.ShapedSchedule;
 import dewplank.lab.load.ShapedSchedule.Shape;
-import dewplank.lab.load.StandIn;
+import dewplank.lab.load.StubServer;
 import dewplank.lab.load.TraceSchedule;
 import dewplank.settings.InvalidInputException;
 import java.io.IOException;
@@ -198,8 +198,8 @@
             List<InetSocketAddress> listenAddresses = addresses.stream()
                     .map(a -> LoadPlan.Target.parse("http://" + a).address())
                     .toList();
-            try (StandIn standIn = new StandIn(listenAddresses, serviceTimes, mean, cv, 1)) {
-                System.out.println("answering on " + standIn.addresses());
+            try (StubServer stubServer = new StubServer(listenAddresses, serviceTimes, mean, cv, 1)) {
+                System.out.println("answering on " + stubServer.addresses());
                 Thread.currentThread().join();
             }
         }
--- a/cli/src/main/java/dewplank/SidecarCommands.java
+++ b/cli/src/main/java/dewplank/SidecarCommands.java
@@ -43,7 +43,7 @@
                                 DrainingLogManager.close();
                             },
                             "drain"));
-            sidecar.rehearse();
+            sidecar.warmUp();
             sidecar.start();
             LOG.log(System.Logger.Level.INFO, "{0} serves on {1}", config.name(), sidecar.address());
             reloader.run(file, () -> reload(sidecar));
@@ -52,7 +52,7 @@
         /** Logs an invalid configuration instead of throwing, as it must not terminate a running program. */
         private static void reload(Sidecar sidecar) {
             try {
-                sidecar.reload(SidecarConfig.reread(System.getenv()));
+                sidecar.reload(SidecarConfig.readForReload(System.getenv()));
             } catch (InvalidInputException e) {
                 LOG.log(
                         System.Logger.Level.WARNING,
@@ -69,8 +69,8 @@
     public static final class Rehearse implements Command {
         @Override
         public void run() throws IOException, InterruptedException {
-            Sidecar sidecar = new Sidecar(SidecarConfig.forRehearsal());
-            CompletableFuture<Void> done = sidecar.rehearse();
+            Sidecar sidecar = new Sidecar(SidecarConfig.forWarmUp());
+            CompletableFuture<Void> done = sidecar.warmUp();
             sidecar.start();
             done.join();
             sidecar.drain();
--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -70,7 +70,7 @@
             }
             Policies.named(policy);
             long startedAtNs = System.nanoTime();
-            Trial trial = Trial.play(
+            Trial trial = Trial.run(
                     configured,
                     policy,
                     seed,
@@ -109,7 +109,7 @@
                     configured = withParameter(configured, change);
                 }
                 for (String policy : policies.isEmpty() ? List.of("choice", "oracle") : policies) {
-                    Trial.WithLosses split = Trial.playSplittingLosses(configured, policy, seed);
+                    Trial.WithLosses split = Trial.runWithLossBreakdown(configured, policy, seed);
                     Trial trial = split.trial();
                     System.out.printf(
                             Locale.ROOT,
@@ -141,7 +141,7 @@
             for (String change : changes) {
                 configured = withParameter(configured, change);
             }
-            TrialOutput.print(LiveTrial.play(configured, seed, sidecarCommand(), System.out::println));
+            TrialOutput.print(LiveTrial.run(configured, seed, sidecarCommand(), System.out::println));
         }
     }
 
@@ -167,8 +167,8 @@
                 for (long seed = 1; seed <= seeds; seed++) {
                     Scenario configured = ScenarioFile.named(name);
                     configured = length > 0 ? configured.with("length_s", length) : configured;
-                    Trial virtual = Trial.play(configured, "choice", seed, true);
-                    Trial sockets = LiveTrial.play(configured, seed, sidecarCommand(), line -> {});
+                    Trial virtual = Trial.run(configured, "choice", seed, true);
+                    Trial sockets = LiveTrial.run(configured, seed, sidecarCommand(), line -> {});
                     table.add(String.format(
                             Locale.ROOT,
                             "%s,%d,%.4f,%.4f,%.4f,%d,%d,%b",
@@ -179,7 +179,7 @@
                             sockets.service().valueRatio() - virtual.service().valueRatio(),
                             virtual.auditor().violations(),
                             sockets.auditor().violations(),
-                            sockets.unsound()));
+                            sockets.isInvalid()));
                     System.out.println(table.get(table.size() - 1));
                     sockets.auditor().retainedViolations().stream().limit(2).forEach(TrialOutput::print);
                 }
@@ -200,7 +200,7 @@
             Scenario configured = ScenarioFile.named("try");
             System.out.println(configured.servers().count() + " servers, a directory and a sidecar on loopback, "
                     + (int) (configured.lengthMs() / 1000) + " s of load; a server crashes and comes back cold");
-            TrialOutput.print(LiveTrial.play(configured, seed, sidecarCommand(), System.out::println));
+            TrialOutput.print(LiveTrial.run(configured, seed, sidecarCommand(), System.out::println));
         }
     }
 
--- a/cli/src/main/java/dewplank/TrialOutput.java
+++ b/cli/src/main/java/dewplank/TrialOutput.java
@@ -1,6 +1,6 @@
 package dewplank;
 
-import dewplank.lab.Service;
+import dewplank.lab.ServiceMetrics;
 import dewplank.lab.Trial;
 import dewplank.lab.audit.Violation;
 import java.util.Locale;
@@ -11,8 +11,8 @@
 
     static void print(Trial trial) {
         print(trial.service());
-        System.out.println(
-                "auditor: " + trial.auditor().verdict() + (trial.unsound() ? " (unsound: the emulator ran late)" : ""));
+        System.out.println("auditor: " + trial.auditor().verdict()
+                + (trial.isInvalid() ? " (unsound: the emulator ran late)" : ""));
         trial.auditor().retainedViolations().stream().limit(3).forEach(TrialOutput::print);
     }
 
@@ -27,7 +27,7 @@
                 violation.timelineText());
     }
 
-    static void print(Service service) {
+    static void print(ServiceMetrics service) {
         System.out.printf(
                 Locale.ROOT,
                 "service %.3f, worst class %.3f, worst tenant %.3f, worst 10 s %.3f, refused %.3f, "
--- a/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
+++ b/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
@@ -161,26 +161,26 @@
             List<Headers.Field> sealed = new ArrayList<>(attemptHeader);
             sealed.add(new Headers.Field("X-Dewplank-Server-Seal", "0"));
             if (request.target().startsWith("/instances")) {
-                caller.answer(200, List.of(), list().getBytes(StandardCharsets.UTF_8));
+                caller.respond(200, List.of(), list().getBytes(StandardCharsets.UTF_8));
             } else if (request.target().startsWith("/report")) {
-                caller.answer(
+                caller.respond(
                         200,
                         List.of(),
                         ("{\"stage\":\"decode\",\"busy\":false,\"queued\":0,"
                                         + "\"active\":0,\"kv_used\":0,\"kv_capacity\":1}")
                                 .getBytes(StandardCharsets.UTF_8));
             } else if (request.headers().get("X-Dewplank-Processing-Stage") != null) {
-                caller.answer(
+                caller.respond(
                         200,
                         attemptHeader,
                         "{\"context_handle\":\"3fa0\",\"token_count\":1460,\"config_version\":1}"
                                 .getBytes(StandardCharsets.UTF_8));
             } else if (request.target().startsWith("/generation/")) {
-                caller.beginAnswer(200, sealed);
+                caller.startResponse(200, sealed);
                 caller.writePart("id: 1\ndata: x\n\n".getBytes(StandardCharsets.UTF_8));
-                caller.endAnswer();
+                caller.endResponse();
             } else {
-                caller.answer(200, sealed, EMPTY_BODY);
+                caller.respond(200, sealed, EMPTY_BODY);
             }
         }
 
@@ -193,6 +193,6 @@
         }
 
         @Override
-        public void callerGone(InboundConnection caller) {}
+        public void clientDisconnected(InboundConnection caller) {}
     }
 }
--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -37,9 +37,9 @@
         int runs = 0;
         do {
             lines.clear();
-            trial = LiveTrial.play(scenario, seed, TrialCommands.sidecarCommand(), lines::add);
+            trial = LiveTrial.run(scenario, seed, TrialCommands.sidecarCommand(), lines::add);
             runs++;
-        } while (runs < MAX_RUNS && trial.unsound() && trial.auditor().violations() > 0);
+        } while (runs < MAX_RUNS && trial.isInvalid() && trial.auditor().violations() > 0);
         return trial;
     }
 
--- a/cli/src/test/java/dewplank/fleet/BootstrapTest.java
+++ b/cli/src/test/java/dewplank/fleet/BootstrapTest.java
@@ -23,7 +23,7 @@
                 for (ClientRequest request : ONE_OF_EACH_KIND) {
                     harness.assertServed(edge, request);
                 }
-                assertEquals(200, harness.fleet.readiness(harness.fleet.edge(edge)));
+                assertEquals(200, harness.fleet.readiness(harness.fleet.dataMachine(edge)));
             }
             assertFalse(
                     harness.events(HandleFetched.class).isEmpty(), "no generation was split into prefill and decode");
--- a/cli/src/test/java/dewplank/fleet/ControlPlaneFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlPlaneFaultTest.java
@@ -85,12 +85,12 @@
 
     private static void changeConfigurationWhilePaused(FleetHarness harness, FleetProcess paused) throws Exception {
         SteadyLoad load = harness.startLoad();
-        paused.freeze();
+        paused.pause();
         FleetConfiguration next = INITIAL.withVersion(8);
         harness.putConfiguration(next, INITIAL.version(), harness.indexOf(harness.controlOtherThan(paused)));
         double changedAtMs = harness.now();
         awaitCallByOtherProcess(harness, paused, changedAtMs);
-        paused.thaw();
+        paused.resume();
         harness.awaitState("the newest version at the resumed process", () -> harness.reportsVersion(paused, 8));
         // it serves no configuration until it has reached a majority again
         JsonObject read = harness.awaitView(paused, "/configuration", "config_version");
@@ -136,8 +136,8 @@
         FleetHarness.run(3, 1, harness -> {
             FleetConfiguration next = INITIAL.withVersion(6);
             FleetProcess running = harness.control(1);
-            harness.control(0).freeze();
-            harness.control(2).freeze();
+            harness.control(0).pause();
+            harness.control(2).pause();
             CompletableFuture<Integer> change = harness.operator().put(next, INITIAL.version(), 1);
             harness.await("an attempt without a quorum", ChangeAttempted.class, attempt -> attempt.node()
                     .equals(running.machine().node()));
--- a/cli/src/test/java/dewplank/fleet/FleetHarness.java
+++ b/cli/src/test/java/dewplank/fleet/FleetHarness.java
@@ -185,7 +185,7 @@
 
     /** Sends an attempt to the data plane with this index. */
     ClientAttempt send(int edge, ClientRequest request) {
-        return fleet.client().send(fleet.edge(edge), request);
+        return fleet.client().send(fleet.dataMachine(edge), request);
     }
 
     /** Starts clients of every data plane that repeatedly send the requests of {@link #ONE_OF_EACH_KIND} in order. */
--- a/cli/src/test/java/dewplank/fleet/MixedBuildsRun.java
+++ b/cli/src/test/java/dewplank/fleet/MixedBuildsRun.java
@@ -42,9 +42,9 @@
     private static final int EXIT_TIMEOUT_S = 10;
 
     private static final RouteSpec OPEN =
-            RouteSpec.to("plain", "open", RouteSpec.Kind.SAFE).asPublic();
+            RouteSpec.to("plain", "open", RouteSpec.Kind.SAFE).withPublicAccess();
     private static final TenantSpec LIMITED =
-            TenantSpec.unlimited("acme", "k-acme").limitedTo(RATE_PER_S, BURST);
+            TenantSpec.unlimited("acme", "k-acme").withLimit(RATE_PER_S, BURST);
     private static final ClientRequest PUBLIC = ClientRequest.plain(OPEN, "public");
     private static final ClientRequest OF_LIMITED_TENANT =
             ClientRequest.plain(READ, "acme").withAccessKey("k-acme");
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -113,7 +113,7 @@
     @Test
     void aRequestWhoseHandleIsRejectedIsServed() throws Exception {
         FleetHarness.run(1, 1, harness -> {
-            harness.decodeServers.forEach(ModelServer::rejectHandles);
+            harness.decodeServers.forEach(ModelServer::failHandleFetches);
             for (int i = 0; i < REQUESTS; i++) {
                 ClientRequest request = FleetHarness.generation(CHAT, "rejected" + i);
                 harness.awaitState(
@@ -163,7 +163,7 @@
             harness.await(
                     "the run is cancelled",
                     RunEnded.class,
-                    event -> event.attemptId().equals(paused.stream().id()) && event.how() == RunEnd.CALLER_LEFT);
+                    event -> event.attemptId().equals(paused.stream().id()) && event.end() == RunEnd.CALLER_LEFT);
         });
     }
 
--- a/cli/src/test/java/dewplank/fleet/TenantTest.java
+++ b/cli/src/test/java/dewplank/fleet/TenantTest.java
@@ -39,7 +39,7 @@
     private static final TenantSpec ACME = TenantSpec.unlimited("acme", "k-acme");
     private static final TenantSpec BIRCH = TenantSpec.unlimited("birch", "k-birch");
     private static final RouteSpec OPEN =
-            RouteSpec.to("plain", "open", RouteSpec.Kind.SAFE).asPublic();
+            RouteSpec.to("plain", "open", RouteSpec.Kind.SAFE).withPublicAccess();
 
     private static final FleetConfiguration KEYED =
             INITIAL.with(INITIAL.version() + 1, OPEN).withTenants(INITIAL.version() + 1, ACME, BIRCH);
@@ -100,7 +100,7 @@
             putTenants(harness, KEYED);
             assertServedEverywhere(harness, OF_ACME);
             for (FleetProcess process : harness.control()) {
-                process.freeze();
+                process.pause();
             }
             double pausedAtMs = harness.now();
             SteadyLoad publicLoad = harness.fleet.load(List.of(PUBLIC));
@@ -114,7 +114,7 @@
             assertEquals(0, publicLoad.notServed(), "public routes need no control plane");
             double resumedAtMs = harness.now();
             for (FleetProcess process : harness.control()) {
-                process.thaw();
+                process.resume();
             }
             awaitStatusEverywhere(harness, OF_ACME, 200);
             Set<String> keyed = attemptsOf(harness, OF_ACME);
@@ -139,7 +139,7 @@
     @Test
     void aFleetWideLimitHoldsWhileTheControlPlaneThatAssignsSharesIsKilled() throws Exception {
         FleetHarness.run(CONTROL_PLANES, DATA_PLANES, harness -> {
-            putTenants(harness, KEYED.withTenants(KEYED.version(), ACME.limitedTo(RATE_PER_S, BURST), BIRCH));
+            putTenants(harness, KEYED.withTenants(KEYED.version(), ACME.withLimit(RATE_PER_S, BURST), BIRCH));
             awaitStatusEverywhere(harness, OF_ACME, 200);
             SteadyLoad load = harness.fleet.load(List.of(OF_ACME));
             awaitAttemptsFor(harness, FleetBounds.QUOTA_WINDOW_S);
--- a/cli/src/test/java/dewplank/fleet/soak/ChangeStepRunner.java
+++ b/cli/src/test/java/dewplank/fleet/soak/ChangeStepRunner.java
@@ -69,7 +69,7 @@
     private FleetConfiguration withRouteMoved() {
         RouteSpec route = current.route(FleetHarness.READ.name());
         boolean isMoved = !route.equals(FleetHarness.READ);
-        return current.with(++lastVersion, isMoved ? FleetHarness.READ : route.movedTo("other"));
+        return current.with(++lastVersion, isMoved ? FleetHarness.READ : route.withService("other"));
     }
 
     /**
--- a/cli/src/test/java/dewplank/fleet/soak/ProcessStepRunner.java
+++ b/cli/src/test/java/dewplank/fleet/soak/ProcessStepRunner.java
@@ -28,8 +28,8 @@
             case TERMINATE -> terminate();
             case KILL -> process.kill();
             case START -> process.restart();
-            case FREEZE -> process.freeze();
-            case THAW -> process.thaw();
+            case FREEZE -> process.pause();
+            case THAW -> process.resume();
             case RELOAD -> {
                 awaitListening();
                 process.reload(randomSeeds());
--- a/cli/src/test/java/dewplank/fleet/soak/SoakRun.java
+++ b/cli/src/test/java/dewplank/fleet/soak/SoakRun.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
-import dewplank.emulator.fleet.FleetEvent.ChangeAnswered;
+import dewplank.emulator.fleet.FleetEvent.ChangeResponded;
 import dewplank.emulator.fleet.FleetEvent.ConnectionReused;
 import dewplank.emulator.fleet.FleetProcess;
 import dewplank.emulator.fleet.Futures;
@@ -86,8 +86,8 @@
     private static String summary(History history) {
         List<AttemptEnded> ended = history.events(AttemptEnded.class);
         long complete = ended.stream().filter(AttemptEnded::complete).count();
-        long acknowledged = history.events(ChangeAnswered.class).stream()
-                .filter(changeAnswered -> changeAnswered.status() == 200)
+        long acknowledged = history.events(ChangeResponded.class).stream()
+                .filter(changeResponded -> changeResponded.status() == 200)
                 .count();
         return String.format(
                 "attempts %d, on reused connections %d, with a complete response %d; acknowledged changes %d",
--- a/client/src/main/java/dewplank/client/ConfigurationText.java
+++ b/client/src/main/java/dewplank/client/ConfigurationText.java
@@ -56,7 +56,7 @@
         TextTable tenants = new TextTable("TENANT", "ACCESS KEYS");
         Fields fields = new Fields(Json.object(keys.json(configuration)), "");
         for (Fields tenant : fields.list("tenants")) {
-            tenants.row(tenant.text("name"), String.join(" ", tenant.texts("access_keys")));
+            tenants.row(tenant.text("name"), String.join(" ", tenant.strings("access_keys")));
         }
         return tenants + "\n";
     }
--- a/configuration/src/main/java/dewplank/configuration/ChangeHistory.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeHistory.java
@@ -28,28 +28,28 @@
     /** An accepted change: the version that it produced, and the first bytes of its digest. */
     private record Change(long version, byte[] digest) {}
 
-    private final long oldestBase;
+    private final long oldestBaseVersion;
     private final List<Change> changes;
 
-    private ChangeHistory(long oldestBase, List<Change> changes) {
-        this.oldestBase = oldestBase;
+    private ChangeHistory(long oldestBaseVersion, List<Change> changes) {
+        this.oldestBaseVersion = oldestBaseVersion;
         this.changes = changes;
     }
 
     /** The base version of the oldest change in the history; 0 while the history contains all accepted changes. */
-    long oldestBase() {
-        return oldestBase;
+    long oldestBaseVersion() {
+        return oldestBaseVersion;
     }
 
     /** Whether the history contains the change, if any, that was accepted on top of this version. */
     boolean covers(long baseVersion) {
-        return baseVersion >= oldestBase;
+        return baseVersion >= oldestBaseVersion;
     }
 
     /** The version that this change produced; empty if the history does not contain the change. */
     OptionalLong findVersion(long baseVersion, byte[] fullDigest) {
         byte[] digest = Arrays.copyOf(fullDigest, DIGEST_BYTES);
-        long base = oldestBase;
+        long base = oldestBaseVersion;
         for (Change change : changes) {
             if (base == baseVersion) {
                 return Arrays.equals(change.digest(), digest)
@@ -64,7 +64,7 @@
     /** This history with one more change on top of the newest; drops the oldest change if the history is full. */
     ChangeHistory withChange(long version, byte[] fullDigest) {
         int dropped = Math.max(0, changes.size() + 1 - ConfigurationDocument.MAX_HISTORY_CHANGES);
-        long base = dropped == 0 ? oldestBase : changes.get(dropped - 1).version();
+        long base = dropped == 0 ? oldestBaseVersion : changes.get(dropped - 1).version();
         List<Change> next = new ArrayList<>(changes.subList(dropped, changes.size()));
         next.add(new Change(version, Arrays.copyOf(fullDigest, DIGEST_BYTES)));
         return new ChangeHistory(base, List.copyOf(next));
@@ -74,7 +74,7 @@
     void write(DataOutputStream out) throws IOException {
         out.writeByte(FORMAT);
         out.writeShort(changes.size());
-        out.writeLong(oldestBase);
+        out.writeLong(oldestBaseVersion);
         for (Change change : changes) {
             out.writeLong(change.version());
             out.write(change.digest());
@@ -88,18 +88,18 @@
             throw new IOException("unknown format of a configuration document");
         }
         int count = in.readUnsignedShort();
-        long oldestBase = format == FORMAT ? in.readLong() : 0;
+        long oldestBaseVersion = format == FORMAT ? in.readLong() : 0;
         List<Change> changes = new ArrayList<>(count);
         for (int index = 0; index < count; index++) {
             long version = in.readLong();
             if (format == FORMAT_WITH_BASES) {
                 long base = in.readLong();
-                oldestBase = index == 0 ? base : oldestBase;
+                oldestBaseVersion = index == 0 ? base : oldestBaseVersion;
             }
             byte[] digest = new byte[format == FORMAT ? DIGEST_BYTES : FULL_DIGEST_BYTES];
             in.readFully(digest);
             changes.add(new Change(version, Arrays.copyOf(digest, DIGEST_BYTES)));
         }
-        return new ChangeHistory(oldestBase, List.copyOf(changes));
+        return new ChangeHistory(oldestBaseVersion, List.copyOf(changes));
     }
 }
--- a/configuration/src/main/java/dewplank/configuration/ChangeResult.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeResult.java
@@ -27,9 +27,9 @@
      * The change is based on a version so old that the history no longer contains the change that was accepted on top
      * of it. That change may have been this one, so this one is neither confirmed nor rejected.
      *
-     * @param oldestBase the oldest version for which the history contains the change accepted on top of it
+     * @param oldestBaseVersion the oldest version for which the history contains the change accepted on top of it
      */
-    record HistoryExpired(long oldestBase) implements ChangeResult {}
+    record HistoryExpired(long oldestBaseVersion) implements ChangeResult {}
 
     /**
      * The change is invalid.
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -131,7 +131,7 @@
         }
         JsonObject body = JsonTextReader.readObject(request.body());
         if (!history.covers(request.expectedVersion())) {
-            return new HistoryExpired(history.oldestBase());
+            return new HistoryExpired(history.oldestBaseVersion());
         }
         if (request.expectedVersion() != version()) {
             return new VersionMismatch(version());
--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -2,13 +2,13 @@
 
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
-import dewplank.register.Answer;
 import dewplank.register.Decision;
 import dewplank.register.DurableState;
 import dewplank.register.Outcome;
 import dewplank.register.Register;
 import dewplank.register.RegisterMessage;
 import dewplank.register.RegisterValue;
+import dewplank.register.RequestResult;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -83,8 +83,8 @@
         @Override
         public void completed(long request, Outcome<ChangeResult> outcome) {
             if (outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
-                    && confirmed.answer() instanceof Answer.OfChange<ChangeResult> answer
-                    && answer.result() instanceof ChangeResult.VersionMismatch) {
+                    && confirmed.result() instanceof RequestResult.OfChange<ChangeResult> requestResult
+                    && requestResult.result() instanceof ChangeResult.VersionMismatch) {
                 rejectedVersions.add(versionByRequest.get(request));
             }
         }
--- a/consensus/src/main/java/dewplank/register/ChangeTask.java
+++ b/consensus/src/main/java/dewplank/register/ChangeTask.java
@@ -15,11 +15,11 @@
     @Override
     public Proposal<A> propose(RegisterValue read, RegisterValue newestChosen) {
         Decision<A> decision = change.decide(read.payload());
-        Answer<A> answer = new Answer.OfChange<>(decision.result());
+        RequestResult<A> result = new RequestResult.OfChange<>(decision.result());
         if (decision.newPayload() == null) {
-            return new Proposal<>(read, answer, false);
+            return new Proposal<>(read, result, false);
         }
-        return new Proposal<>(read.withPayload(decision.newPayload()), answer, true);
+        return new Proposal<>(read.withPayload(decision.newPayload()), result, true);
     }
 
     @Override
--- a/consensus/src/main/java/dewplank/register/Outcome.java
+++ b/consensus/src/main/java/dewplank/register/Outcome.java
@@ -10,10 +10,10 @@
      * The decision is final: the value that it is based on, or the new value, is chosen at its ballot.
      *
      * @param value the chosen value; not null
-     * @param answer the result of the request; not null
+     * @param result the result of the request; not null
      * @param changed whether this request changed the value
      */
-    record Confirmed<A>(RegisterValue value, Answer<A> answer, boolean changed) implements Outcome<A> {}
+    record Confirmed<A>(RegisterValue value, RequestResult<A> result, boolean changed) implements Outcome<A> {}
 
     /**
      * The request may have taken effect, may take effect later, or may never take effect.
--- a/consensus/src/main/java/dewplank/register/Proposer.java
+++ b/consensus/src/main/java/dewplank/register/Proposer.java
@@ -221,7 +221,7 @@
         announceChosen(round, effects);
         if (task.isCompletedBy(proposal)) {
             transitionTo(new ProposerState.Idle<>());
-            task.complete(new Outcome.Confirmed<>(proposal.value(), proposal.answer(), proposal.changed()), effects);
+            task.complete(new Outcome.Confirmed<>(proposal.value(), proposal.result(), proposal.changed()), effects);
             startNextIfIdle(nowMs, effects);
         } else {
             startRound(nowMs, task, 1, effects);
--- a/consensus/src/main/java/dewplank/register/Reader.java
+++ b/consensus/src/main/java/dewplank/register/Reader.java
@@ -107,7 +107,7 @@
             readByBallot(nowMs, read, effects);
         } else {
             effects.completed(
-                    read.requestId, new Outcome.Confirmed<>(learner.chosenValue(), new Answer.None<>(), false));
+                    read.requestId, new Outcome.Confirmed<>(learner.chosenValue(), new RequestResult.None<>(), false));
         }
     }
 
--- a/consensus/src/main/java/dewplank/register/Reconfiguration.java
+++ b/consensus/src/main/java/dewplank/register/Reconfiguration.java
@@ -1,6 +1,6 @@
 package dewplank.register;
 
-/** Result of a confirmed reconfiguration, contained in {@link Answer.OfReconfiguration}. */
+/** Result of a confirmed reconfiguration, contained in {@link RequestResult.OfReconfiguration}. */
 public enum Reconfiguration {
     /** The target acceptors are in effect, as the result of a transition from the expected generation. */
     APPLIED,
--- a/consensus/src/main/java/dewplank/register/ReconfigureTask.java
+++ b/consensus/src/main/java/dewplank/register/ReconfigureTask.java
@@ -28,17 +28,17 @@
         AcceptorSet set = read.acceptors();
         if (set.isJoint()) {
             Proposal<A> next = CompletionTask.completeTransition(read, newestChosen);
-            return next.changed() ? withAnswer(next.value(), true) : next;
+            return next.changed() ? withResult(next.value(), true) : next;
         }
         if (set.generation() == expectedGeneration && !set.consistsOf(target)) {
             return Proposal.changed(read.withAcceptors(set.beginTransition(target)));
         }
-        return withAnswer(read, false);
+        return withResult(read, false);
     }
 
     @Override
     public boolean isCompletedBy(Proposal<A> proposal) {
-        return proposal.answer() instanceof Answer.OfReconfiguration;
+        return proposal.result() instanceof RequestResult.OfReconfiguration;
     }
 
     @Override
@@ -56,8 +56,8 @@
         effects.completed(requestId, outcome);
     }
 
-    private Proposal<A> withAnswer(RegisterValue value, boolean changed) {
-        return new Proposal<>(value, new Answer.OfReconfiguration<>(resultFor(value.acceptors())), changed);
+    private Proposal<A> withResult(RegisterValue value, boolean changed) {
+        return new Proposal<>(value, new RequestResult.OfReconfiguration<>(resultFor(value.acceptors())), changed);
     }
 
     private Reconfiguration resultFor(AcceptorSet set) {
--- a/consensus/src/main/java/dewplank/register/Answer.java
+++ b/consensus/src/main/java/dewplank/register/RequestResult.java
@@ -5,21 +5,21 @@
  *
  * @param <A> the result of the callers' changes
  */
-public sealed interface Answer<A> {
+public sealed interface RequestResult<A> {
     /** No result besides the value: for a read, or for a step that does not complete its request. */
-    record None<A>() implements Answer<A> {}
+    record None<A>() implements RequestResult<A> {}
 
     /**
      * The result of a {@link Change}.
      *
      * @param result the result returned by the change; not null
      */
-    record OfChange<A>(A result) implements Answer<A> {}
+    record OfChange<A>(A result) implements RequestResult<A> {}
 
     /**
      * The result of a reconfiguration.
      *
      * @param result whether the target acceptors took effect; not null
      */
-    record OfReconfiguration<A>(Reconfiguration result) implements Answer<A> {}
+    record OfReconfiguration<A>(Reconfiguration result) implements RequestResult<A> {}
 }
--- a/consensus/src/test/java/dewplank/register/FleetScenariosTest.java
+++ b/consensus/src/test/java/dewplank/register/FleetScenariosTest.java
@@ -43,7 +43,8 @@
         fleet.change(fleet.process(3), 2, 1, TIMEOUT_MS, outcomes::add);
         fleet.events().runUntil(4000);
         Assertions.assertEquals(
-                new Answer.OfChange<>(VersionHistory.APPLIED), confirmed(2).answer());
+                new RequestResult.OfChange<>(VersionHistory.APPLIED),
+                confirmed(2).result());
         Assertions.assertTrue(fleet.process(3).register().isAcceptor());
         Assertions.assertEquals(2, confirmed(2).value().acceptors().generation());
     }
--- a/consensus/src/test/java/dewplank/register/HistoryChecker.java
+++ b/consensus/src/test/java/dewplank/register/HistoryChecker.java
@@ -52,8 +52,8 @@
         newestRevision = Math.max(newestRevision, value.revision());
     }
 
-    void observeChangeResult(int version, RegisterValue value, Answer<String> answer) {
-        if (answer.equals(new Answer.OfChange<>(VersionHistory.APPLIED))) {
+    void observeChangeResult(int version, RegisterValue value, RequestResult<String> result) {
+        if (result.equals(new RequestResult.OfChange<>(VersionHistory.APPLIED))) {
             applied.add(version);
             check(VersionHistory.read(value.payload()).contains(version), "an applied change is not in the value");
         } else {
--- a/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ProposerRulesTest.java
@@ -45,7 +45,7 @@
         accepted(C);
         Outcome.Confirmed<String> outcome =
                 (Outcome.Confirmed<String>) effects.completed.get(0).outcome();
-        Assertions.assertEquals(new Answer.OfChange<>("rejected"), outcome.answer());
+        Assertions.assertEquals(new RequestResult.OfChange<>("rejected"), outcome.result());
         Assertions.assertFalse(outcome.changed());
     }
 
--- a/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
+++ b/consensus/src/test/java/dewplank/register/ReconfigurationRulesTest.java
@@ -21,7 +21,7 @@
 
     private Reconfiguration result(int index) {
         Outcome.Confirmed<?> confirmed = Assertions.assertInstanceOf(Outcome.Confirmed.class, outcomes.get(index));
-        return Assertions.assertInstanceOf(Answer.OfReconfiguration.class, confirmed.answer())
+        return Assertions.assertInstanceOf(RequestResult.OfReconfiguration.class, confirmed.result())
                 .result();
     }
 
@@ -114,6 +114,6 @@
         Assertions.assertFalse(other.isCompletedBy(other.propose(joint, initial)));
         Proposal<String> second = other.propose(joint, joint);
         Assertions.assertTrue(other.isCompletedBy(second));
-        Assertions.assertEquals(new Answer.OfReconfiguration<>(Reconfiguration.SUPERSEDED), second.answer());
+        Assertions.assertEquals(new RequestResult.OfReconfiguration<>(Reconfiguration.SUPERSEDED), second.result());
     }
 }
--- a/consensus/src/test/java/dewplank/register/RegisterModel.java
+++ b/consensus/src/test/java/dewplank/register/RegisterModel.java
@@ -417,7 +417,8 @@
         RegisterValue value = confirmation.outcome().value();
         List<ModelProposal> chosen = chosen(state);
         check(state, chosen.stream().anyMatch(each -> each.value().equals(value)), "confirmed but not chosen");
-        boolean isRejected = confirmation.outcome().answer().equals(new Answer.OfChange<>(VersionHistory.REJECTED));
+        boolean isRejected =
+                confirmation.outcome().result().equals(new RequestResult.OfChange<>(VersionHistory.REJECTED));
         if (isRejected) {
             int version = (int) confirmation.requestId();
             state.rejected |= 1 << version;
--- a/consensus/src/test/java/dewplank/register/SimulatedFleet.java
+++ b/consensus/src/test/java/dewplank/register/SimulatedFleet.java
@@ -107,7 +107,7 @@
         long requestId = track(timeoutMs, outcome -> {
             if (outcome instanceof Outcome.Confirmed<String> confirmed) {
                 history.observeConfirmed(confirmed.value(), minRevision);
-                history.observeChangeResult(version, confirmed.value(), confirmed.answer());
+                history.observeChangeResult(version, confirmed.value(), confirmed.result());
             }
             listener.accept(outcome);
         });
--- a/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
+++ b/consensus/src/test/java/dewplank/register/SuccessiveLossesTest.java
@@ -40,7 +40,7 @@
                 fleet.events().runNext(Double.MAX_VALUE);
             }
             if (outcomes.get(0) instanceof Outcome.Confirmed<String> confirmed) {
-                Assertions.assertEquals(new Answer.OfChange<>(VersionHistory.APPLIED), confirmed.answer());
+                Assertions.assertEquals(new RequestResult.OfChange<>(VersionHistory.APPLIED), confirmed.result());
                 return;
             }
         }
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationRequests.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationRequests.java
@@ -5,8 +5,8 @@
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.configuration.InvalidConfigurationException;
 import dewplank.exchange.InboundConnection;
-import dewplank.register.Answer;
 import dewplank.register.Outcome;
+import dewplank.register.RequestResult;
 import dewplank.settings.ResultCode;
 import java.util.function.Consumer;
 
@@ -92,8 +92,8 @@
 
     private static OperatorResponse responseToChange(Outcome<ChangeResult> outcome) {
         return outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
-                        && confirmed.answer() instanceof Answer.OfChange<ChangeResult> answer
-                ? responseTo(answer.result())
+                        && confirmed.result() instanceof RequestResult.OfChange<ChangeResult> requestResult
+                ? responseTo(requestResult.result())
                 : noQuorum(outcome);
     }
 
@@ -108,12 +108,12 @@
             return OperatorResponse.result(
                     ResultCode.VERSION_MISMATCH,
                     "version " + mismatch.current() + " is in place",
-                    JsonText.plain("version", mismatch.current()));
+                    JsonText.rawField("version", mismatch.current()));
         }
         if (result instanceof ChangeResult.HistoryExpired expired) {
             return OperatorResponse.result(
                     ResultCode.BEYOND_HISTORY,
-                    "changes on versions below " + expired.oldestBase() + " are no longer remembered");
+                    "changes on versions below " + expired.oldestBaseVersion() + " are no longer remembered");
         }
         InvalidConfigurationException error = ((ChangeResult.Invalid) result).error();
         return OperatorResponse.result(
--- a/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ConfigurationStore.java
@@ -7,13 +7,13 @@
 import dewplank.net.Scheduler;
 import dewplank.register.AcceptorId;
 import dewplank.register.AcceptorSet;
-import dewplank.register.Answer;
 import dewplank.register.Decision;
 import dewplank.register.DurableState;
 import dewplank.register.Outcome;
 import dewplank.register.Register;
 import dewplank.register.RegisterMessage;
 import dewplank.register.RegisterValue;
+import dewplank.register.RequestResult;
 import dewplank.store.DiskResult;
 import java.util.HashMap;
 import java.util.List;
@@ -107,7 +107,7 @@
         loop.after(TICK_INTERVAL_MS, this::tick);
     }
 
-    void received(RegisterMessage message) {
+    void handleMessage(RegisterMessage message) {
         register.handleMessage(loop.now(), message, this);
     }
 
@@ -197,11 +197,11 @@
 
     private static void logAcceptorChange(Outcome<ChangeResult> outcome) {
         if (outcome instanceof Outcome.Confirmed<ChangeResult> confirmed
-                && confirmed.answer() instanceof Answer.OfReconfiguration<ChangeResult> answer) {
+                && confirmed.result() instanceof RequestResult.OfReconfiguration<ChangeResult> requestResult) {
             LOG.info(
                     "acceptor change completed acceptors={} result={}",
                     confirmed.value().acceptors().members(),
-                    answer.result());
+                    requestResult.result());
         }
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
+++ b/controlplane/src/main/java/dewplank/controlplane/ControlComponents.java
@@ -11,7 +11,7 @@
 import dewplank.message.MessageLink;
 import dewplank.message.QuotaRequest;
 import dewplank.net.Scheduler;
-import dewplank.quota.QuotaTerms;
+import dewplank.quota.QuotaBounds;
 import dewplank.register.AcceptorId;
 import dewplank.register.RegisterMessage;
 import dewplank.routing.Policy;
@@ -128,8 +128,8 @@
                         confirmation::canConfirm,
                         founderTracker::areFoundersLost),
                 new OperatorViews(this));
-        quotaTokens = new QuotaTokens(loop, quotaTerms(bounds), new QuotaPeers(), random);
-        quotaShares = new QuotaShares(loop, address, role, quotaTokens::shareHeld);
+        quotaTokens = new QuotaTokens(loop, quotaBounds(bounds), new QuotaPeers(), random);
+        quotaShares = new QuotaShares(loop, address, role, quotaTokens::updateShare);
         dispatcher = newDispatcher();
     }
 
@@ -149,9 +149,9 @@
                 quotaTokens);
     }
 
-    private static QuotaTerms quotaTerms(NodeSettings.Bounds bounds) {
+    private static QuotaBounds quotaBounds(NodeSettings.Bounds bounds) {
         NodeSettings.Quota quota = bounds.quota();
-        return new QuotaTerms(quota.windowMs(), quota.overshoot(), quota.slack());
+        return new QuotaBounds(quota.windowMs(), quota.overshoot(), quota.slack());
     }
 
     /** Replaces the seeds by those of the settings and connects to the new ones. */
@@ -168,7 +168,7 @@
     private void onStall(double stalledMs) {
         LOG.info("event loop stalled stalledMs={}", Math.round(stalledMs));
         mesh.extendTimeouts(stalledMs);
-        sessions.stalled(stalledMs);
+        sessions.extendLeases(stalledMs);
     }
 
     private void onListPublished(EndpointList list) {
@@ -223,7 +223,7 @@
             if (history.add(newer)) {
                 stallDetector.check();
                 LOG.info("configuration chosen version={}", newer.version());
-                quotaTokens.configurationChosen(newer);
+                quotaTokens.updateLimits(newer);
                 sessions.pushUpdates();
             }
         }
--- a/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DataPlaneSessions.java
@@ -75,7 +75,7 @@
     }
 
     /** Extends the leases by the time for which the event loop stalled, because it read no heartbeats meanwhile. */
-    void stalled(double stalledMs) {
+    void extendLeases(double stalledMs) {
         sessions.forEach(s -> s.lastHeartbeatAt += stalledMs);
         table.extendLeases(stalledMs);
     }
--- a/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/DiskStorage.java
@@ -27,7 +27,7 @@
     private final MessageCodec codec;
     private final FleetBootstrap bootstrap;
     private final FounderIdentities founderIdentities;
-    private final FounderIdentities.Record loadedFounderIdentities;
+    private final FounderIdentities.StoredIdentities loadedFounderIdentities;
     private EndpointList pendingList;
     private boolean listSavePending;
 
@@ -90,12 +90,12 @@
     }
 
     @Override
-    public FounderIdentities.Record founderIdentities() {
+    public FounderIdentities.StoredIdentities founderIdentities() {
         return loadedFounderIdentities;
     }
 
     @Override
-    public void saveFounderIdentities(FounderIdentities.Record record, Consumer<DiskResult> done) {
+    public void saveFounderIdentities(FounderIdentities.StoredIdentities record, Consumer<DiskResult> done) {
         executor.submit(() -> founderIdentities.store(record), done);
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/FounderTracker.java
+++ b/controlplane/src/main/java/dewplank/controlplane/FounderTracker.java
@@ -51,10 +51,10 @@
     /** Stores the identities. */
     interface Store {
         /** The identities that were stored when this process started. */
-        FounderIdentities.Record founderIdentities();
+        FounderIdentities.StoredIdentities founderIdentities();
 
         /** Stores the identities; {@code done} receives the result of the write, in a later task of the loop. */
-        void saveFounderIdentities(FounderIdentities.Record record, Consumer<DiskResult> done);
+        void saveFounderIdentities(FounderIdentities.StoredIdentities record, Consumer<DiskResult> done);
     }
 
     private final Scheduler loop;
@@ -63,8 +63,8 @@
     private final Store store;
     private final ControlMesh mesh;
     private final ConfigurationStore configuration;
-    private final Map<String, FounderIdentities.Record> recordsOfPeers = new LinkedHashMap<>();
-    private FounderIdentities.Record stored;
+    private final Map<String, FounderIdentities.StoredIdentities> recordsOfPeers = new LinkedHashMap<>();
+    private FounderIdentities.StoredIdentities stored;
     private double storedAtMs;
     private boolean areIdentitiesInForce;
     private boolean hasConflict;
@@ -116,11 +116,11 @@
     }
 
     /** Handles the encoded identities in a control plane's heartbeat. Ignores them unless they are one valid record. */
-    void reported(String from, List<String> encodedRecords) {
+    void onIdentitiesReported(String from, List<String> encodedRecords) {
         if (encodedRecords.size() != 1 || founders.isEmpty() || configuration.hasChosenValue()) {
             return;
         }
-        FounderIdentities.Record.decode(encodedRecords.get(0)).ifPresent(record -> {
+        FounderIdentities.StoredIdentities.decode(encodedRecords.get(0)).ifPresent(record -> {
             recordsOfPeers.put(from, record);
             merge(record);
         });
@@ -155,7 +155,7 @@
                 .filter(peer -> Bootstrap.isVolatileFounder(new AcceptorId(founder.address(), peer.identity())));
     }
 
-    private void merge(FounderIdentities.Record other) {
+    private void merge(FounderIdentities.StoredIdentities other) {
         if (other.bootstrapRound() > stored.bootstrapRound()) {
             save(other);
         } else if (other.bootstrapRound() == stored.bootstrapRound() && !areIdentitiesInForce) {
@@ -169,7 +169,7 @@
 
     private void saveIfNew(Map<String, String> identities) {
         if (!identities.equals(stored.byAddress())) {
-            save(new FounderIdentities.Record(stored.bootstrapRound(), identities));
+            save(new FounderIdentities.StoredIdentities(stored.bootstrapRound(), identities));
         }
     }
 
@@ -208,7 +208,7 @@
         if (loop.now() - allReachableSinceMs >= restartAfterMs) {
             allReachableSinceMs = Double.NaN;
             LOG.warn("bootstrap begins anew round={} founders={}", stored.bootstrapRound() + 1, successors);
-            save(new FounderIdentities.Record(stored.bootstrapRound() + 1, successors));
+            save(new FounderIdentities.StoredIdentities(stored.bootstrapRound() + 1, successors));
         }
     }
 
@@ -235,7 +235,7 @@
 
     // ---- stored identities -----------------------------------------------------------------------------
 
-    private void save(FounderIdentities.Record next) {
+    private void save(FounderIdentities.StoredIdentities next) {
         if (isSavePending || loop.now() < saveRetryAtMs) {
             return;
         }
@@ -250,7 +250,7 @@
         });
     }
 
-    private void onStored(FounderIdentities.Record next) {
+    private void onStored(FounderIdentities.StoredIdentities next) {
         boolean isNewRound = next.bootstrapRound() > stored.bootstrapRound();
         stored = next;
         storedAtMs = loop.now();
--- a/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
+++ b/controlplane/src/main/java/dewplank/controlplane/HttpModelServerClient.java
@@ -50,7 +50,7 @@
                 .body(body);
         Call call = call(server, message, onlyIf, handler);
         // a late response to a report request can't be distinguished from the response to an order
-        call.http().exclusive();
+        call.http().useDedicatedConnection();
         start(call);
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/JsonText.java
+++ b/controlplane/src/main/java/dewplank/controlplane/JsonText.java
@@ -18,11 +18,11 @@
 
     /** Formats a field whose value is a string, or null. */
     static String field(String name, String text) {
-        return plain(name, text == null ? "null" : quoted(text));
+        return rawField(name, text == null ? "null" : quoted(text));
     }
 
     /** Formats a field whose value is JSON already: a number, true or false, an object or an array. */
-    static String plain(String name, Object json) {
+    static String rawField(String name, Object json) {
         return quoted(name) + ":" + json;
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
+++ b/controlplane/src/main/java/dewplank/controlplane/MemoryStorage.java
@@ -56,12 +56,12 @@
     }
 
     @Override
-    public FounderIdentities.Record founderIdentities() {
-        return FounderIdentities.Record.NONE;
+    public FounderIdentities.StoredIdentities founderIdentities() {
+        return FounderIdentities.StoredIdentities.NONE;
     }
 
     @Override
-    public void saveFounderIdentities(FounderIdentities.Record record, Consumer<DiskResult> done) {
+    public void saveFounderIdentities(FounderIdentities.StoredIdentities record, Consumer<DiskResult> done) {
         loop.execute(() -> done.accept(DiskResult.Succeeded.INSTANCE));
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorApi.java
@@ -126,12 +126,12 @@
     }
 
     @Override
-    public void callerGone(InboundConnection client) {
+    public void clientDisconnected(InboundConnection client) {
         requestsInFlight.remove(client);
     }
 
     @Override
-    public void connectionEnded(InboundConnection client) {
+    public void connectionClosed(InboundConnection client) {
         connections.remove(client);
     }
 
@@ -206,7 +206,7 @@
                         foundersLost
                                 ? "the first acceptors, which had no disk, have all ended before anything was chosen"
                                 : "no majority of acceptors was reached lately",
-                        JsonText.plain("elsewhere", JsonText.array(others))));
+                        JsonText.rawField("elsewhere", JsonText.array(others))));
     }
 
     private void read(Responder client) {
@@ -227,7 +227,7 @@
 
     private void respond(Responder client, OperatorResponse response) {
         if (requestsInFlight.remove(client)) {
-            client.answer(response.status(), response.headers(), response.body());
+            client.respond(response.status(), response.headers(), response.body());
         }
     }
 
@@ -239,7 +239,7 @@
     /** Stops accepting requests and closes idle connections; returns whether no request is in flight. */
     boolean close() {
         closing = true;
-        List.copyOf(connections).forEach(c -> c.endIfIdle(true));
+        List.copyOf(connections).forEach(c -> c.closeIfIdle(true));
         return requestsInFlight.isEmpty();
     }
 
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorResponse.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorResponse.java
@@ -44,7 +44,7 @@
 
     private static byte[] body(ResultCode code, String detail, String... further) {
         List<String> fields = new ArrayList<>(List.of(
-                JsonText.plain("code", code.number()),
+                JsonText.rawField("code", code.number()),
                 JsonText.field("result", code.name()),
                 JsonText.field("detail", detail)));
         fields.addAll(List.of(further));
--- a/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
+++ b/controlplane/src/main/java/dewplank/controlplane/OperatorViews.java
@@ -31,7 +31,7 @@
     }
 
     private static String members(String kind, List<Member> members) {
-        return JsonText.plain(
+        return JsonText.rawField(
                 kind, JsonText.array(members.stream().map(OperatorViews::member).toList()));
     }
 
@@ -40,7 +40,7 @@
                 JsonText.field("node", m.node),
                 JsonText.field("address", m.address),
                 JsonText.field("zone", m.zone),
-                JsonText.plain("incarnation", m.incarnation));
+                JsonText.rawField("incarnation", m.incarnation));
     }
 
     @Override
@@ -48,11 +48,11 @@
         SingletonRole list = components.roles().endpointList();
         return JsonText.object(
                         JsonText.field("answered_by", components.node()),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "list",
                                 JsonText.object(
-                                        JsonText.plain("held_here", list.isLeaseHolder()),
-                                        JsonText.plain("fencing_number", list.fencingToken()))))
+                                        JsonText.rawField("held_here", list.isLeaseHolder()),
+                                        JsonText.rawField("fencing_number", list.fencingToken()))))
                 + "\n";
     }
 
@@ -64,7 +64,7 @@
         return JsonText.object(
                         JsonText.field(
                                 "version", components.poller().newest().version.toString()),
-                        JsonText.plain("servers", JsonText.array(servers)))
+                        JsonText.rawField("servers", JsonText.array(servers)))
                 + "\n";
     }
 
@@ -85,8 +85,8 @@
                 JsonText.field("address", s.address),
                 JsonText.field("zone", s.zone),
                 JsonText.field("stage", s.stage),
-                JsonText.plain("draining", s.draining),
-                JsonText.plain("slot_count", s.slotCount));
+                JsonText.rawField("draining", s.draining),
+                JsonText.rawField("slot_count", s.slotCount));
     }
 
     @Override
@@ -96,23 +96,24 @@
                 .toList();
         return JsonText.object(
                         JsonText.field("node", components.node()),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "quorate", components.configuration().hasQuorum(QuorumConfirmation.QUORUM_VALIDITY_MS)),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "current", components.configuration().isCurrent(QuorumConfirmation.QUORUM_VALIDITY_MS)),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "quorum_age_ms", components.configuration().quorumAgeMs()),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "holds_list_duty",
                                 components.roles().endpointList().isLeaseHolder()),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "acceptors_generation",
                                 components.configuration().acceptors().generation()),
-                        JsonText.plain(
+                        JsonText.rawField(
                                 "founders_lost", components.founderTracker().areFoundersLost()),
-                        JsonText.plain("disk_refused", components.diskFailure().isPresent()),
-                        JsonText.plain("config_version", components.history().version()),
-                        JsonText.plain("acceptors", JsonText.array(acceptors)))
+                        JsonText.rawField(
+                                "disk_refused", components.diskFailure().isPresent()),
+                        JsonText.rawField("config_version", components.history().version()),
+                        JsonText.rawField("acceptors", JsonText.array(acceptors)))
                 + "\n";
     }
 
@@ -124,8 +125,8 @@
                 .toList();
         return JsonText.object(
                         JsonText.field("answered_by", components.node()),
-                        JsonText.plain("config_version", components.history().version()),
-                        JsonText.plain("data_planes", JsonText.array(reports)))
+                        JsonText.rawField("config_version", components.history().version()),
+                        JsonText.rawField("data_planes", JsonText.array(reports)))
                 + "\n";
     }
 
@@ -135,11 +136,11 @@
                 JsonText.field("node", member.node),
                 JsonText.field("address", member.address),
                 JsonText.field("zone", member.zone),
-                JsonText.plain("incarnation", member.incarnation),
-                JsonText.plain("config_version", report.configurationVersion()),
-                JsonText.plain("since_ms", Math.round(nowMs - report.sinceMs())),
-                JsonText.plain("heard_ms_ago", Math.round(nowMs - report.lastHeartbeatAtMs())),
-                JsonText.plain("session", report.hasSession()));
+                JsonText.rawField("incarnation", member.incarnation),
+                JsonText.rawField("config_version", report.configurationVersion()),
+                JsonText.rawField("since_ms", Math.round(nowMs - report.sinceMs())),
+                JsonText.rawField("heard_ms_ago", Math.round(nowMs - report.lastHeartbeatAtMs())),
+                JsonText.rawField("session", report.hasSession()));
     }
 
     private static String acceptor(AcceptorId a) {
--- a/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
+++ b/controlplane/src/main/java/dewplank/controlplane/PeerMessageDispatcher.java
@@ -58,11 +58,11 @@
     /** @param from the sender's address on the links, as IP:PORT */
     void dispatch(String from, Object message) {
         if (message instanceof RegisterMessage registerMessage) {
-            configuration.received(registerMessage);
+            configuration.handleMessage(registerMessage);
         } else if (message instanceof ControlHeartbeat heartbeat) {
             sessionTable.onSessionsReported(loop.now(), from, heartbeat.sessions);
             mesh.addAddresses(heartbeat.controlAddresses);
-            founderTracker.reported(from, heartbeat.founders);
+            founderTracker.onIdentitiesReported(from, heartbeat.founders);
         } else if (message instanceof EndpointList list) {
             onEndpointList(list);
         } else if (message instanceof VoteRequest request) {
--- a/controlplane/src/main/java/dewplank/controlplane/QuotaShares.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuotaShares.java
@@ -5,7 +5,7 @@
 import dewplank.message.QuotaShareGrant;
 import dewplank.message.QuotaShareReport;
 import dewplank.net.Scheduler;
-import dewplank.quota.HeldShare;
+import dewplank.quota.LeasedShare;
 import dewplank.quota.ShareAssigner;
 import dewplank.quota.ShareGrant;
 import dewplank.quota.ShareReport;
@@ -35,9 +35,9 @@
          * The share of this process has been set.
          *
          * @param fraction of all quotas, from 0 to 1
-         * @param endsAtMs when the share expires unless it is renewed, on the loop's clock
+         * @param expiresAtMs when the share expires unless it is renewed, on the loop's clock
          */
-        void shareHeld(double nowMs, double fraction, double endsAtMs);
+        void onShareUpdated(double nowMs, double fraction, double expiresAtMs);
     }
 
     private record SentHeartbeat(long sequence, double sentAtMs) {}
@@ -47,7 +47,7 @@
     private final SingletonRole role;
     private final Listener listener;
     private final ShareAssigner assigner = new ShareAssigner();
-    private final HeldShare heldShare = new HeldShare();
+    private final LeasedShare leasedShare = new LeasedShare();
     private final Deque<SentHeartbeat> sentHeartbeats = new ArrayDeque<>();
     /** Fencing token of the lease under which this process assigns shares; 0 while it does not. */
     private long assigningToken;
@@ -68,7 +68,7 @@
      */
     QuotaShareReport beginHeartbeat(long sequence) {
         double now = loop.now();
-        ShareReport report = heldShare.report(now);
+        ShareReport report = leasedShare.report(now);
         assign(address, report).ifPresent(grant -> apply(now, grant));
         sentHeartbeats.addLast(new SentHeartbeat(sequence, now));
         if (sentHeartbeats.size() > MAX_SENT_HEARTBEATS) {
@@ -79,9 +79,9 @@
 
     private void apply(double sentAtMs, ShareGrant grant) {
         double now = loop.now();
-        heldShare.onGrant(now, sentAtMs, grant);
-        double fraction = heldShare.fraction(now);
-        listener.shareHeld(now, fraction, heldShare.endsAtMs());
+        leasedShare.onGrant(now, sentAtMs, grant);
+        double fraction = leasedShare.fraction(now);
+        listener.onShareUpdated(now, fraction, leasedShare.expiresAtMs());
         if (fraction != loggedFraction) {
             loggedFraction = fraction;
             LOG.info("quota share fraction={}", fraction);
--- a/controlplane/src/main/java/dewplank/controlplane/QuotaTokens.java
+++ b/controlplane/src/main/java/dewplank/controlplane/QuotaTokens.java
@@ -5,8 +5,8 @@
 import dewplank.message.QuotaReply;
 import dewplank.message.QuotaRequest;
 import dewplank.net.Scheduler;
+import dewplank.quota.QuotaBounds;
 import dewplank.quota.QuotaBuckets;
-import dewplank.quota.QuotaTerms;
 import dewplank.quota.TakeResult;
 import dewplank.quota.TenantLimit;
 import java.util.ArrayDeque;
@@ -63,15 +63,15 @@
     /**
      * @param random determines the order in which peers are queried
      */
-    QuotaTokens(Scheduler loop, QuotaTerms terms, Peers peers, RandomGenerator random) {
+    QuotaTokens(Scheduler loop, QuotaBounds bounds, Peers peers, RandomGenerator random) {
         this.loop = loop;
-        this.buckets = new QuotaBuckets(terms);
+        this.buckets = new QuotaBuckets(bounds);
         this.peers = peers;
         this.random = random;
     }
 
     /** Applies the limits of a newer configuration that has been chosen. */
-    void configurationChosen(Configuration configuration) {
+    void updateLimits(Configuration configuration) {
         List<TenantLimit> limits = new ArrayList<>();
         for (Tenant tenant : configuration.tenants()) {
             limits.add(new TenantLimit(tenant.name(), tenant.ratePerSecond(), tenant.burst()));
@@ -80,9 +80,9 @@
         exhaustedUntil.clear();
     }
 
-    /** Sets this process's share of all quotas, which expires at {@code endsAtMs}. */
-    void shareHeld(double nowMs, double fraction, double endsAtMs) {
-        buckets.updateShare(nowMs, fraction, endsAtMs);
+    /** Sets this process's share of all quotas, which expires at {@code expiresAtMs}. */
+    void updateShare(double nowMs, double fraction, double expiresAtMs) {
+        buckets.updateShare(nowMs, fraction, expiresAtMs);
     }
 
     /** Handles a request for tokens from a data plane or from a peer. */
@@ -94,7 +94,7 @@
         } else if (taken instanceof TakeResult.Unlimited) {
             replyTo.accept(QuotaReply.granted(request.id, request.tokens));
         } else if (taken instanceof TakeResult.Exhausted exhausted) {
-            onExhausted(request, exhausted.untilNextMs(), replyTo);
+            onExhausted(request, exhausted.nextTokenAfterMs(), replyTo);
         } else if (taken instanceof TakeResult.NoShare) {
             onExhausted(request, Double.POSITIVE_INFINITY, replyTo);
         } else {
--- a/controlplane/src/main/java/dewplank/controlplane/StageController.java
+++ b/controlplane/src/main/java/dewplank/controlplane/StageController.java
@@ -190,7 +190,7 @@
         StagePlanner.ModelServer state = report.state();
         switch (pendingOrders.update(report, loop.now())) {
             case PENDING:
-                return state.whileChanging(pendingOrders.isToPrefill(state.instanceId()));
+                return state.changingTo(pendingOrders.isToPrefill(state.instanceId()));
             case CONFIRMED:
                 poller.overrideStage(
                         state.instanceId(), stageName(state.isPrefill()), PendingStageOrders.ORDER_TIMEOUT_MS);
@@ -262,7 +262,7 @@
                 JsonText.field("operation", "stage"),
                 JsonText.field("stage", stage),
                 JsonText.field("holder", node),
-                JsonText.plain("fence_number", fencingToken));
+                JsonText.rawField("fence_number", fencingToken));
         return body.getBytes(StandardCharsets.UTF_8);
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/ControlMeshTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.exchange.OnLoop;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.membership.Member;
 import dewplank.message.ControlHeartbeat;
 import dewplank.message.ControlHello;
@@ -87,7 +87,7 @@
     }
 
     private String nextLinkUp() throws InterruptedException {
-        return linkUps.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+        return linkUps.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Test
@@ -95,7 +95,7 @@
         FramedPeer other = newPeer().acknowledging();
         start(other.address(), SELF_ADDRESS, other.address());
         assertEquals(other.address(), nextLinkUp());
-        ControlHello hello = other.nextIs(ControlHello.class);
+        ControlHello hello = other.nextMessage(ControlHello.class);
         assertEquals(SELF, hello.member);
         assertEquals("disk-0", hello.identity);
         ControlHeartbeat first = other.message(ControlHeartbeat.class);
@@ -135,7 +135,7 @@
             mesh.send(SELF_ADDRESS, "own");
             assertTrue(messagesToSelf.isEmpty());
         });
-        assertEquals("own", messagesToSelf.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals("own", messagesToSelf.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Test
@@ -144,7 +144,7 @@
         FramedPeer responsive = newPeer().acknowledging();
         start(unresponsive.address(), responsive.address());
         MessageLink first = unresponsive.connection();
-        assertEquals(first, unresponsive.ended());
+        assertEquals(first, unresponsive.nextClosedConnection());
         assertNotSame(first, unresponsive.connection());
         assertTrue(responsive.hasNoClosedConnection());
     }
@@ -155,7 +155,7 @@
         start(other.address());
         MessageLink first = other.connection();
         other.message(ControlHeartbeat.class);
-        other.end(first);
+        other.closeConnection(first);
         assertNotSame(first, other.connection());
         assertEquals(other.address(), nextLinkUp());
         assertEquals(other.address(), nextLinkUp());
@@ -171,7 +171,7 @@
         ControlMesh.Peer peer = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals(member, peer.member());
         assertEquals("disk-1", peer.identity());
-        OnLoop.pass(loop, 20);
+        OnLoop.waitMs(loop, 20);
         OnLoop.run(loop, () -> mesh.onHello(new ControlHello(member, "disk-1", true)));
         ControlMesh.Peer later = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals(peer.firstReceivedAt(), later.firstReceivedAt());
@@ -180,7 +180,7 @@
         ControlMesh.Peer changed = OnLoop.get(loop, () -> mesh.peers(5_000)).get(0);
         assertEquals("disk-2", changed.identity());
         assertTrue(changed.firstReceivedAt() > peer.firstReceivedAt());
-        OnLoop.pass(loop, 30);
+        OnLoop.waitMs(loop, 30);
         assertEquals(List.of(), OnLoop.get(loop, () -> mesh.peers(20)));
         OnLoop.run(loop, () -> mesh.recordReceived(new ControlHello(member, "disk-2", true)));
         assertEquals(1, OnLoop.get(loop, () -> mesh.peers(20)).size());
--- a/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/DataPlaneSessionsTest.java
@@ -137,7 +137,7 @@
     }
 
     private MessageLink openSession() throws Exception {
-        MessageLink connection = dataPlane.dial((InetSocketAddress) listener.address());
+        MessageLink connection = dataPlane.connect((InetSocketAddress) listener.address());
         dataPlane.send(connection, new SessionOpen(DATA));
         return connection;
     }
@@ -157,12 +157,12 @@
     void theReportedVersionIsRetainedAfterTheSessionEnds() throws Exception {
         MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 7, EndpointListVersion.NONE, 0));
-        dataPlane.nextIs(HeartbeatAck.class);
+        dataPlane.nextMessage(HeartbeatAck.class);
         DataPlaneReports.Report open = OnLoop.get(loop, sessions::reports).get(0);
         assertEquals(7, open.configurationVersion());
         assertEquals(DATA, open.member());
         assertTrue(open.hasSession());
-        dataPlane.end(connection);
+        dataPlane.closeConnection(connection);
         OnLoop.await(loop, () -> !sessions.reports().get(0).hasSession());
     }
 
@@ -170,7 +170,7 @@
     void aHeartbeatIsAcknowledgedWithOrWithoutAnUpdate() throws Exception {
         MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(41, 7, new EndpointListVersion(2, 3), 5));
-        HeartbeatAck ack = dataPlane.nextIs(HeartbeatAck.class);
+        HeartbeatAck ack = dataPlane.nextMessage(HeartbeatAck.class);
         assertEquals(41, ack.sequence);
         assertTrue(ack.quorate);
         assertEquals(List.of("10.0.0.1:1", "10.0.0.2:1"), ack.controlAddresses);
@@ -183,14 +183,14 @@
     void anUpdateIsSentImmediatelyAndOnlyOnce() throws Exception {
         MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 7, EndpointListVersion.NONE, 0));
-        dataPlane.nextIs(HeartbeatAck.class);
+        dataPlane.nextMessage(HeartbeatAck.class);
         push(configuration(8));
-        assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
+        assertEquals(8, dataPlane.nextMessage(FleetUpdate.class).configurationVersion);
         push(pendingUpdate); // the data plane is assumed to have it, although it has not reported it yet
         dataPlane.send(connection, new SessionHeartbeat(2, 7, EndpointListVersion.NONE, 0));
-        assertEquals(2, dataPlane.nextIs(HeartbeatAck.class).sequence);
+        assertEquals(2, dataPlane.nextMessage(HeartbeatAck.class).sequence);
         push(configuration(9));
-        assertEquals(9, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
+        assertEquals(9, dataPlane.nextMessage(FleetUpdate.class).configurationVersion);
         assertTrue(dataPlane.hasNoFurtherMessage());
     }
 
@@ -198,8 +198,8 @@
     void aPendingUpdateFollowsTheFirstAcknowledgement() throws Exception {
         push(configuration(8));
         dataPlane.send(openSession(), new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
-        dataPlane.nextIs(HeartbeatAck.class);
-        assertEquals(8, dataPlane.nextIs(FleetUpdate.class).configurationVersion);
+        dataPlane.nextMessage(HeartbeatAck.class);
+        assertEquals(8, dataPlane.nextMessage(FleetUpdate.class).configurationVersion);
     }
 
     /** A data plane's versions are unknown before its first heartbeat, so no update can be computed. */
@@ -210,7 +210,7 @@
         push(configuration(8));
         assertEquals(List.of(), OnLoop.get(loop, () -> queries));
         dataPlane.send(connection, new SessionHeartbeat(1, 8, EndpointListVersion.NONE, 0));
-        dataPlane.nextIs(HeartbeatAck.class);
+        dataPlane.nextMessage(HeartbeatAck.class);
         assertEquals(List.of("8 0.0 0"), OnLoop.get(loop, () -> queries));
     }
 
@@ -219,12 +219,12 @@
         List<Member> members = List.of(DATA);
         MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 7, new EndpointListVersion(1, 1), 0));
-        dataPlane.nextIs(HeartbeatAck.class);
+        dataPlane.nextMessage(HeartbeatAck.class);
         push(new FleetUpdate(
                 new byte[] {1}, 8, 7, new EndpointList(new EndpointListVersion(1, 2), List.of()), members));
-        assertEquals(7, dataPlane.nextIs(FleetUpdate.class).baseVersion);
+        assertEquals(7, dataPlane.nextMessage(FleetUpdate.class).baseVersion);
         push(configuration(9));
-        dataPlane.nextIs(FleetUpdate.class);
+        dataPlane.nextMessage(FleetUpdate.class);
         long digest = SessionTable.digest(members);
         assertEquals(List.of("7 1.1 0", "7 1.1 0", "8 1.2 " + digest), OnLoop.get(loop, () -> queries));
     }
@@ -233,8 +233,8 @@
     void aDataPlaneWithAClosedSessionIsNotAMemberAndReceivesNoUpdates() throws Exception {
         MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
-        dataPlane.nextIs(HeartbeatAck.class);
-        dataPlane.end(connection);
+        dataPlane.nextMessage(HeartbeatAck.class);
+        dataPlane.closeConnection(connection);
         OnLoop.await(loop, () -> sessions.size() == 0);
         assertEquals(List.of(), OnLoop.get(loop, () -> table.members(loop.now())));
         push(configuration(8));
@@ -246,12 +246,12 @@
     void anExpiredSessionIsClosedInsteadOfUpdated() throws Exception {
         MessageLink connection = openSession();
         dataPlane.send(connection, new SessionHeartbeat(1, 0, EndpointListVersion.NONE, 0));
-        dataPlane.nextIs(HeartbeatAck.class);
+        dataPlane.nextMessage(HeartbeatAck.class);
         push(configuration(8));
-        dataPlane.nextIs(FleetUpdate.class);
+        dataPlane.nextMessage(FleetUpdate.class);
         OnLoop.run(loop, () -> clockOffsetMs = LEASE_MS + 1);
         push(configuration(9));
-        assertEquals(connection, dataPlane.ended());
+        assertEquals(connection, dataPlane.nextClosedConnection());
         assertEquals(0, OnLoop.get(loop, sessions::size));
     }
 
@@ -263,7 +263,7 @@
             }
         });
         MessageLink connection = openSession();
-        assertEquals(connection, dataPlane.ended());
+        assertEquals(connection, dataPlane.nextClosedConnection());
         assertEquals(0, OnLoop.get(loop, sessions::size));
         assertNull(pendingUpdate);
         assertFalse(connection.isOpen());
--- a/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/EndpointPollerTest.java
@@ -76,9 +76,9 @@
     @Test
     void changesArePublishedUnderTheLeasesFencingToken() {
         completePoll(2);
-        time.run(400);
+        time.advance(400);
         completePoll(2);
-        time.run(400);
+        time.advance(400);
         completePoll(3);
         assertEquals(
                 List.of(new EndpointListVersion(7, 1), new EndpointListVersion(7, 2)),
@@ -100,7 +100,7 @@
         role.reacquire();
         completePoll(2);
         assertEquals(List.of(), published);
-        time.run(400);
+        time.advance(400);
         completePoll(3);
         assertEquals(new EndpointListVersion(8, 1), published.get(0).version);
     }
@@ -110,7 +110,7 @@
     void theFirstListUnderATokenIsPublishedEvenIfUnchanged() {
         completePoll(2);
         role.reacquire();
-        time.run(400);
+        time.advance(400);
         completePoll(2);
         assertEquals(new EndpointListVersion(8, 1), poller.newest().version);
         assertFalse(poller.receive(new EndpointList(new EndpointListVersion(7, 9), servers(1))));
@@ -137,18 +137,18 @@
         poller.publishStageOverrides(7);
         assertEquals(List.of("decode", Endpoint.CHANGING), stages());
         assertEquals(2, published.size());
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode", "decode"));
         assertEquals(2, published.size(), "no list without a change");
         poller.overrideStage("i-1", "prefill", 10_000);
         poller.publishStageOverrides(7);
         assertEquals(List.of("decode", "prefill"), stages());
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode", "decode"));
         assertEquals(List.of("decode", "prefill"), stages(), "the platform's list lags");
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode", "prefill"));
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode", "decode"));
         assertEquals(List.of("decode", "decode"), stages(), "the override ended when the platform's list agreed");
     }
@@ -161,12 +161,12 @@
         poller.publishStageOverrides(7);
         poller.publishStageOverrides(8);
         assertEquals(List.of("decode"), stages());
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode"));
         assertEquals(List.of(Endpoint.CHANGING), stages());
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode"));
-        time.run(400);
+        time.advance(400);
         polls.remove().completed(serversInStages("decode"));
         assertEquals(List.of("decode"), stages(), "the override has expired");
     }
@@ -175,7 +175,7 @@
     void doesNotPollWithoutTheLease() {
         completePoll(2);
         role.leaseHeld = false;
-        time.run(5_000);
+        time.advance(5_000);
         assertTrue(polls.isEmpty());
     }
 
@@ -188,7 +188,7 @@
             while (!polls.isEmpty()) {
                 polls.remove().failed("no response");
             }
-            time.run(50);
+            time.advance(50);
         }
         return time.now() - start;
     }
@@ -212,7 +212,7 @@
                     backoffFactor + " took " + took);
             role.reacquire();
         }
-        time.run(400);
+        time.advance(400);
         completePoll(2);
         assertTrue(millisUntilLeaseReleased() <= DRAIN_MS / 2 + POLLING_MS);
     }
@@ -225,7 +225,7 @@
             } else {
                 polls.remove().failed("status 429");
             }
-            time.run(400);
+            time.advance(400);
         }
         assertEquals(List.of(), role.stepDownDurationsMs);
     }
--- a/controlplane/src/test/java/dewplank/controlplane/FakeRegister.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FakeRegister.java
@@ -4,9 +4,9 @@
 import dewplank.configuration.ChangeResult;
 import dewplank.configuration.ConfigurationDocument;
 import dewplank.register.AcceptorSet;
-import dewplank.register.Answer;
 import dewplank.register.Outcome;
 import dewplank.register.RegisterValue;
+import dewplank.register.RequestResult;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -44,23 +44,23 @@
         if (result instanceof ChangeResult.Accepted accepted) {
             payload = accepted.next().encode();
         }
-        complete(new Answer.OfChange<>(result), callback);
+        complete(new RequestResult.OfChange<>(result), callback);
     }
 
     @Override
     public synchronized void read(double timeoutMs, Consumer<Outcome<ChangeResult>> callback) {
         timeouts.add(timeoutMs);
         if (quorum) {
-            complete(new Answer.None<>(), callback);
+            complete(new RequestResult.None<>(), callback);
         } else {
             callback.accept(new Outcome.Unknown<>("2 of 3 acceptors did not reply"));
         }
     }
 
-    private void complete(Answer<ChangeResult> answer, Consumer<Outcome<ChangeResult>> callback) {
+    private void complete(RequestResult<ChangeResult> result, Consumer<Outcome<ChangeResult>> callback) {
         if (!unresponsive) {
             RegisterValue value = new RegisterValue(AcceptorSet.of(List.of()), 1, payload);
-            callback.accept(new Outcome.Confirmed<>(value, answer, false));
+            callback.accept(new Outcome.Confirmed<>(value, result, false));
         }
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
+++ b/controlplane/src/test/java/dewplank/controlplane/FramedPeer.java
@@ -1,7 +1,7 @@
 package dewplank.controlplane;
 
 import dewplank.exchange.OnLoop;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.message.ControlHeartbeat;
 import dewplank.message.FleetMessages;
 import dewplank.message.FramedConnection;
@@ -62,7 +62,7 @@
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+        T next = queue.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("nothing arrived in time");
         }
@@ -73,7 +73,7 @@
         return next(opened);
     }
 
-    MessageLink ended() throws InterruptedException {
+    MessageLink nextClosedConnection() throws InterruptedException {
         return next(closed);
     }
 
@@ -99,11 +99,11 @@
     }
 
     /** The next message, which must be of the given type. */
-    <T> T nextIs(Class<T> type) throws InterruptedException {
+    <T> T nextMessage(Class<T> type) throws InterruptedException {
         return type.cast(next(messages));
     }
 
-    MessageLink dial(InetSocketAddress to) throws Exception {
+    MessageLink connect(InetSocketAddress to) throws Exception {
         OnLoop.run(loop, () -> FramedConnection.open(loop, to, 5_000, codec, this));
         return connection();
     }
@@ -112,7 +112,7 @@
         OnLoop.run(loop, () -> on.send(message));
     }
 
-    void end(MessageLink connection) throws Exception {
+    void closeConnection(MessageLink connection) throws Exception {
         OnLoop.run(loop, connection::close);
     }
 
--- a/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/HttpPlatformClientTest.java
@@ -7,7 +7,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.message.Endpoint;
 import dewplank.net.EventLoop;
 import java.io.IOException;
@@ -60,8 +60,8 @@
     }
 
     private static void respondWithPage(Call call, int number, String next) throws IOException {
-        call.wire()
-                .answer(
+        call.peer()
+                .respond(
                         "200 OK",
                         "",
                         "{\"instances\":[{\"instance_id\":\"i-" + number + "\",\"service\":\"s\","
@@ -88,7 +88,7 @@
         }
         assertEquals(
                 List.of("i-0", "i-1", "i-2", "i-3", "i-4"),
-                servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS).stream()
+                servers.get(TestPeer.TIMEOUT_S, TimeUnit.SECONDS).stream()
                         .map(s -> s.instanceId)
                         .toList());
     }
@@ -100,7 +100,7 @@
         for (int i = 0; i < 3; i++) {
             CompletableFuture<List<Endpoint>> servers = fetchInstances();
             respondWithPage(platform.next(), i, null);
-            servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
+            servers.get(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
         }
         assertTrue(loop.now() - startedAt >= SECOND_MS);
     }
@@ -108,16 +108,16 @@
     @Test
     void aRejectedRequestFailsTheFetchWithItsStatus() throws Exception {
         CompletableFuture<List<Endpoint>> servers = fetchInstances();
-        platform.next().wire().answer("429 Too Many Requests", "", "");
+        platform.next().peer().respond("429 Too Many Requests", "", "");
         String reason = null;
         try {
-            servers.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
+            servers.get(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             reason = e.getCause().getMessage();
         }
         assertEquals("status 429", reason);
         CompletableFuture<List<Endpoint>> second = fetchInstances();
         respondWithPage(platform.next(), 7, null);
-        assertNull(second.get(Wire.PATIENCE_S, TimeUnit.SECONDS).get(0).stage);
+        assertNull(second.get(TestPeer.TIMEOUT_S, TimeUnit.SECONDS).get(0).stage);
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/JsonTextTest.java
@@ -13,7 +13,7 @@
 class JsonTextTest {
     @Property(tries = 300)
     void anyTextRoundTrips(@ForAll String name, @ForAll String text) {
-        String object = JsonText.object(JsonText.field(name, text), JsonText.plain(name + "2", 7));
+        String object = JsonText.object(JsonText.field(name, text), JsonText.rawField(name + "2", 7));
         assertEquals(text, Json.object(object).get(name));
         assertEquals(7L, Json.object(object).get(name + "2"));
     }
--- a/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/OperatorRequestsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import java.io.IOException;
@@ -102,12 +102,12 @@
         return "{\"config_version\":" + version + ",\"routes\":[" + ROUTE + "],\"services\":[{\"name\":\"s\"}]}";
     }
 
-    private Wire client() throws IOException {
-        return Wire.to((InetSocketAddress) listener.address());
+    private TestPeer client() throws IOException {
+        return TestPeer.to((InetSocketAddress) listener.address());
     }
 
     private int status(String method, String ifMatch, String body) throws IOException {
-        try (Wire client = client()) {
+        try (TestPeer client = client()) {
             client.send(method + " /configuration HTTP/1.1\r\nHost: c\r\nIf-Match: " + ifMatch + "\r\nContent-Length: "
                     + body.length() + "\r\n\r\n" + body);
             return client.read().status();
@@ -192,7 +192,7 @@
     /** The request is rejected after its head, so that the client does not have to send the body. */
     @Test
     void aBodyAboveTheBodyLimitIsNotRead() throws IOException {
-        try (Wire client = client()) {
+        try (TestPeer client = client()) {
             client.send(head("Content-Length: " + 5 * MIB + "\r\n"));
             assertEquals(413, client.read().status());
             assertNull(client.read());
@@ -202,7 +202,7 @@
 
     @Test
     void acceptsAChunkedBody() throws IOException {
-        try (Wire client = client()) {
+        try (TestPeer client = client()) {
             client.send(head("Transfer-Encoding: chunked\r\n"));
             client.chunk(configuration(3).substring(0, 20));
             client.chunk(configuration(3).substring(20));
@@ -225,9 +225,9 @@
                 "GET /configuration",
                 "G@T /configuration HTTP/1.1",
                 "\u0000\u0001\u0002")) {
-            try (Wire client = client()) {
+            try (TestPeer client = client()) {
                 client.send(first + "\r\nHost: c\r\n\r\n");
-                Wire.Message response = client.read();
+                TestPeer.Message response = client.read();
                 assertEquals(400, response.status(), first);
                 assertEquals("close", response.header("Connection"), first);
                 assertNull(client.read(), first);
@@ -239,9 +239,9 @@
     @Test
     void anUnknownPathOrMethodIsReported() throws IOException {
         for (String target : List.of("/", "//", "/configuration/1", "/?x=/configuration")) {
-            try (Wire client = client()) {
+            try (TestPeer client = client()) {
                 client.send("GET " + target + " HTTP/1.1\r\nHost: c\r\n\r\n");
-                Wire.Message response = client.read();
+                TestPeer.Message response = client.read();
                 assertEquals(404, response.status(), target);
                 assertTrue(response.body().contains("NO_SUCH_PATH"), response.body());
             }
--- a/controlplane/src/test/java/dewplank/controlplane/QuotaSharesTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuotaSharesTest.java
@@ -43,7 +43,7 @@
     }
 
     /** An update of a control plane's share. */
-    private record ShareUpdate(double fraction, double endsAtMs) {}
+    private record ShareUpdate(double fraction, double expiresAtMs) {}
 
     /** One control plane, and the updates of its share. */
     private final class Node {
@@ -81,7 +81,7 @@
         private double fraction() {
             ShareUpdate last =
                     shareUpdates.isEmpty() ? new ShareUpdate(0, 0) : shareUpdates.get(shareUpdates.size() - 1);
-            return time.now() < last.endsAtMs() ? last.fraction() : 0;
+            return time.now() < last.expiresAtMs() ? last.fraction() : 0;
         }
     }
 
@@ -108,7 +108,7 @@
 
     private void exchangeHeartbeats(int rounds) {
         for (int round = 0; round < rounds; round++) {
-            time.run(HEARTBEAT_INTERVAL_MS);
+            time.advance(HEARTBEAT_INTERVAL_MS);
             exchangeHeartbeats();
         }
     }
@@ -134,7 +134,7 @@
         exchangeHeartbeats();
         int roundsOfLease = (int) (ASSIGNER_LEASE_MS / HEARTBEAT_INTERVAL_MS);
         for (int round = 0; round < roundsOfLease; round++) {
-            time.run(HEARTBEAT_INTERVAL_MS);
+            time.advance(HEARTBEAT_INTERVAL_MS);
             exchangeHeartbeats();
             assertEquals(0, first.fraction());
             assertEquals(0, second.fraction());
@@ -147,7 +147,7 @@
         first.loseRole();
         second.acquireRole();
         for (int round = 0; round < 2 * REASSIGNMENT_ROUNDS; round++) {
-            time.run(HEARTBEAT_INTERVAL_MS);
+            time.advance(HEARTBEAT_INTERVAL_MS);
             exchangeHeartbeats();
             assertEquals(0.5, first.fraction(), ROUNDING_ERROR);
             assertEquals(0.5, second.fraction(), ROUNDING_ERROR);
@@ -176,9 +176,9 @@
     void sharesExpireOneLeaseAfterTheRoleBecomesVacant() {
         assignEqualShares();
         first.loseRole();
-        time.run(USER_LEASE_MS - 1);
+        time.advance(USER_LEASE_MS - 1);
         assertEquals(0.5, second.fraction(), ROUNDING_ERROR);
-        time.run(1);
+        time.advance(1);
         assertEquals(0, first.fraction());
         assertEquals(0, second.fraction());
         assertEquals(0, second.beginHeartbeat().quotaShare.fraction);
@@ -208,7 +208,7 @@
     void theShareOfAPeerWithoutHeartbeatsIsReassigned() {
         assignEqualShares();
         for (int round = 0; round < REASSIGNMENT_ROUNDS; round++) {
-            time.run(HEARTBEAT_INTERVAL_MS);
+            time.advance(HEARTBEAT_INTERVAL_MS);
             first.beginHeartbeat();
             assertTrue(first.fraction() + second.fraction() <= 1 + ROUNDING_ERROR);
         }
@@ -222,10 +222,10 @@
         assignEqualShares();
         ControlHeartbeat delayed = second.beginHeartbeat();
         double sentAt = time.now();
-        time.run(HEARTBEAT_INTERVAL_MS);
+        time.advance(HEARTBEAT_INTERVAL_MS);
         HeartbeatAck ack = first.acknowledge(second, delayed);
         second.beginHeartbeat();
-        time.run(HEARTBEAT_INTERVAL_MS);
+        time.advance(HEARTBEAT_INTERVAL_MS);
         second.shareUpdates.clear();
         second.shares.onAcknowledged(ack);
         assertEquals(List.of(new ShareUpdate(0.5, sentAt + USER_LEASE_MS)), second.shareUpdates);
@@ -259,7 +259,7 @@
     void anOlderGrantThatArrivesLateIsIgnored() {
         assignEqualShares();
         HeartbeatAck late = first.acknowledge(second, second.beginHeartbeat());
-        time.run(HEARTBEAT_INTERVAL_MS);
+        time.advance(HEARTBEAT_INTERVAL_MS);
         exchangeHeartbeats();
         ShareUpdate newest = second.shareUpdates.get(second.shareUpdates.size() - 1);
         second.shares.onAcknowledged(late);
--- a/controlplane/src/test/java/dewplank/controlplane/QuotaTokensTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/QuotaTokensTest.java
@@ -8,7 +8,7 @@
 import dewplank.message.QuotaReply;
 import dewplank.message.QuotaReply.Outcome;
 import dewplank.message.QuotaRequest;
-import dewplank.quota.QuotaTerms;
+import dewplank.quota.QuotaBounds;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -43,7 +43,7 @@
     /** More concurrent requests than are forwarded to peers. */
     private static final int MANY_REQUESTS = 1_100;
 
-    private static final QuotaTerms TERMS = new QuotaTerms(10_000, 0.05, 0);
+    private static final QuotaBounds BOUNDS = new QuotaBounds(10_000, 0.05, 0);
     private static final long RANDOM_SEED = 5;
 
     /** A request that was sent to a peer. */
@@ -85,7 +85,7 @@
     void begin() throws Exception {
         time = new VirtualTime();
         peers = new ScriptedPeers();
-        tokens = new QuotaTokens(time, TERMS, peers, new SplittableRandom(RANDOM_SEED));
+        tokens = new QuotaTokens(time, BOUNDS, peers, new SplittableRandom(RANDOM_SEED));
         replies = new ArrayList<>();
         lastId = 0;
         version = 0;
@@ -98,18 +98,18 @@
         String json = "{\"config_version\":" + ++version + ",\"routes\":[],\"services\":[],\"tenants\":[{\"name\":\""
                 + TENANT + "\",\"access_keys\":[],\"rate_per_s\":" + ratePerSecond + ",\"burst_size\":" + burst
                 + "}]}";
-        tokens.configurationChosen(Configuration.parse(json.getBytes(StandardCharsets.UTF_8)));
+        tokens.updateLimits(Configuration.parse(json.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Sets the share; the bucket is empty. */
     private void setShare() {
-        tokens.shareHeld(time.now(), FRACTION, SHARE_ENDS_AT_MS);
+        tokens.updateShare(time.now(), FRACTION, SHARE_ENDS_AT_MS);
     }
 
     /** Sets the share, and waits until the bucket has {@code count} tokens. */
     private void setShareAndFillBucket(int count) {
         setShare();
-        time.run(count * TOKEN_INTERVAL_MS);
+        time.advance(count * TOKEN_INTERVAL_MS);
     }
 
     private QuotaRequest request(int count) {
@@ -137,7 +137,7 @@
 
     /** Advances the time beyond the timeouts of all peers, for replies that are still outstanding. */
     private void awaitPeerTimeouts() {
-        time.run(peers.addresses.size() * PEER_TIMEOUT_MS);
+        time.advance(peers.addresses.size() * PEER_TIMEOUT_MS);
     }
 
     private void assertRepliedOnce(QuotaRequest request, Outcome outcome, int count) {
@@ -269,7 +269,7 @@
         setShare();
         QuotaRequest request = request(1);
         SentRequest unansweredRequest = peers.last();
-        time.run(PEER_TIMEOUT_MS);
+        time.advance(PEER_TIMEOUT_MS);
         assertEquals(2, peers.sentRequests.size());
         tokens.onReply(QuotaReply.granted(unansweredRequest.request().id, 1));
         assertEquals(List.of(), replies);
@@ -339,12 +339,12 @@
         request(1);
         replyExhausted(500);
         replies.clear();
-        time.run(400);
+        time.advance(400);
         QuotaRequest second = request(1);
         assertEquals(100, onlyRetryAfterMs());
         assertEquals(1, peers.sentRequests.size());
         assertRepliedOnce(second, Outcome.EXHAUSTED, 0);
-        time.run(100);
+        time.advance(100);
         request(1);
         assertEquals(2, peers.sentRequests.size());
     }
@@ -355,7 +355,7 @@
         request(1);
         replyExhaustedByAll(1_000);
         replies.clear();
-        time.run(TOKEN_INTERVAL_MS);
+        time.advance(TOKEN_INTERVAL_MS);
         assertRepliedOnce(request(1), Outcome.GRANTED, 1);
     }
 
@@ -397,8 +397,8 @@
 
     @Test
     void tokensExpireWithTheShare() {
-        tokens.shareHeld(time.now(), FRACTION, 1_000);
-        time.run(1_000);
+        tokens.updateShare(time.now(), FRACTION, 1_000);
+        time.advance(1_000);
         assertRepliedOnce(request(TENANT, 1, true), Outcome.UNAVAILABLE, 0);
     }
 
@@ -468,9 +468,9 @@
             case REPLY_UNAVAILABLE -> replyToLast((id, unused) -> QuotaReply.unavailable(id), 0);
             case DUPLICATE_REPLIES -> peers.sentRequests.forEach(
                     sent -> tokens.onReply(QuotaReply.granted(sent.request().id, 1)));
-            case ADVANCE_TIME -> time.run(PEER_TIMEOUT_MS);
+            case ADVANCE_TIME -> time.advance(PEER_TIMEOUT_MS);
             case SET_SHARE -> setShare();
-            case REMOVE_SHARE -> tokens.shareHeld(time.now(), 0, time.now());
+            case REMOVE_SHARE -> tokens.updateShare(time.now(), 0, time.now());
             case CHANGE_LIMIT -> limitTo(version % 3 * RATE_PER_S, BURST);
         }
     }
--- a/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
+++ b/controlplane/src/test/java/dewplank/controlplane/StageControllerTest.java
@@ -101,8 +101,8 @@
                 return call;
             }
             assertEquals("/report", call.message().target());
-            call.wire()
-                    .answer(
+            call.peer()
+                    .respond(
                             "200 OK",
                             "Content-Type: application/json\r\n",
                             "{\"stage\":\"decode\",\"busy\":false,\"queued\":0,\"active\":" + active + ","
@@ -122,7 +122,7 @@
         assertEquals("core-1", body.get("holder"));
         assertEquals(FENCING_TOKEN, body.get("fence_number"));
         assertNull(body.get("expected_count"));
-        order.wire().answer("202 Accepted", "", "");
+        order.peer().respond("202 Accepted", "", "");
     }
 
     /** A server rejects requests that have not begun when the order arrives, so data planes are notified before. */
@@ -140,7 +140,7 @@
         assertTrue(
                 orderedAt - role.firstCheckedAt() >= 500,
                 "ordered after " + (orderedAt - role.firstCheckedAt()) + " ms");
-        order.wire().answer("409 Conflict", "", "");
+        order.peer().respond("409 Conflict", "", "");
     }
 
     /** An order of the previous lease holder may still be in flight. */
@@ -162,7 +162,7 @@
         for (int i = 0; i < 6; i++) {
             Call call = ScriptedServer.next(calls);
             assertEquals("/report", call.message().target());
-            call.wire().answer("421 Misdirected Request", "", "{\"stage\":\"decode\"}");
+            call.peer().respond("421 Misdirected Request", "", "{\"stage\":\"decode\"}");
         }
     }
 }
--- a/controlplane/src/test/java/dewplank/controlplane/VirtualTime.java
+++ b/controlplane/src/test/java/dewplank/controlplane/VirtualTime.java
@@ -32,7 +32,7 @@
     }
 
     /** Advances the clock by the given time and runs all tasks that become due. */
-    void run(double ms) {
+    void advance(double ms) {
         double end = now + ms;
         while (!tasks.isEmpty() && tasks.peek().at() <= end) {
             Task task = tasks.poll();
--- a/dataplane/src/main/java/dewplank/dataplane/AccessControl.java
+++ b/dataplane/src/main/java/dewplank/dataplane/AccessControl.java
@@ -27,11 +27,11 @@
     /**
      * The settings that limit the use of revoked keys: {@code revocation_closed} and {@code revoke_ms}.
      *
-     * @param closed whether revocation fails closed: all keys are rejected while the configuration in force is not
+     * @param failsClosed whether revocation fails closed: all keys are rejected while the configuration in force is not
      *     confirmed to be recent
-     * @param withinMs maximum time from the acknowledgement of a revocation until the key is rejected
+     * @param rejectWithinMs maximum time from the acknowledgement of a revocation until the key is rejected
      */
-    record Revocation(boolean closed, double withinMs) {
+    record Revocation(boolean failsClosed, double rejectWithinMs) {
         /** Revocation fails open: keys are accepted according to the configuration in force, however old it is. */
         static final Revocation OPEN = new Revocation(false, 0);
     }
@@ -90,14 +90,14 @@
     }
 
     /**
-     * Whether all revocations that were acknowledged longer ago than {@link Revocation#withinMs} are in force here. All
-     * revocations that were acknowledged before {@link FleetMetadata#confirmedAtMs} are.
+     * Whether all revocations that were acknowledged longer ago than {@link Revocation#rejectWithinMs} are in force
+     * here. All revocations that were acknowledged before {@link FleetMetadata#confirmedAtMs} are.
      */
     private boolean isConfirmed() {
-        if (!revocation.closed()) {
+        if (!revocation.failsClosed()) {
             return true;
         }
-        double validityMs = revocation.withinMs() * (1 - MAX_CLOCK_DRIFT) - MAX_PAUSE_MS;
+        double validityMs = revocation.rejectWithinMs() * (1 - MAX_CLOCK_DRIFT) - MAX_PAUSE_MS;
         double ageMs = loop.now() - fleet.confirmedAtMs();
         boolean confirmed = ageMs <= validityMs;
         if (confirmed != wasConfirmed) {
--- a/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ClientTimeouts.java
@@ -62,9 +62,9 @@
     }
 
     private double timeoutMs(double now, InboundConnection connection) {
-        if (!connection.isHalfRead()) {
+        if (!connection.hasPartialRequest()) {
             return idleMs(now);
         }
-        return connection.isHeadRead() ? requestMs(now) : headMs(now);
+        return connection.hasPartialRequestWithHead() ? requestMs(now) : headMs(now);
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DataPlane.java
@@ -6,7 +6,7 @@
 import dewplank.message.TcpTransport;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
-import dewplank.quota.QuotaTerms;
+import dewplank.quota.QuotaBounds;
 import dewplank.routing.HealthVotes;
 import dewplank.routing.Policy;
 import dewplank.routing.ServerPicker;
@@ -68,10 +68,10 @@
         long seed = new SecureRandom().nextLong();
         RandomGenerator random = new SplittableRandom(seed);
         HealthVotes votes = new HealthVotes(policy);
-        ServerPicker picker = new ServerPicker(settings.zone(), votes, fleet::dataPlanes, random, policy);
+        ServerPicker picker = new ServerPicker(settings.zone(), votes, fleet::dataPlaneCount, random, policy);
         NodeSettings.Bounds bounds = settings.bounds();
         clientTimeouts = new ClientTimeouts(bounds.configApplyMs());
-        QuotaClient quotas = new QuotaClient(loop, quotaTerms(bounds));
+        QuotaClient quotas = new QuotaClient(loop, quotaBounds(bounds));
         forwarder =
                 new Forwarder(loop, fleet, picker, random, counters, retryLimits(bounds), revocation(bounds), quotas);
         Member self = self(settings);
@@ -100,12 +100,12 @@
 
     private static AccessControl.Revocation revocation(NodeSettings.Bounds bounds) {
         return new AccessControl.Revocation(
-                bounds.revocation().closed(), bounds.revocation().withinMs());
+                bounds.revocation().failsClosed(), bounds.revocation().rejectWithinMs());
     }
 
-    private static QuotaTerms quotaTerms(NodeSettings.Bounds bounds) {
+    private static QuotaBounds quotaBounds(NodeSettings.Bounds bounds) {
         NodeSettings.Quota quota = bounds.quota();
-        return new QuotaTerms(quota.windowMs(), quota.overshoot(), quota.slack());
+        return new QuotaBounds(quota.windowMs(), quota.overshoot(), quota.slack());
     }
 
     /** Data planes receive each other's datagrams on the second internal port. */
--- a/dataplane/src/main/java/dewplank/dataplane/DecodeResponseListener.java
+++ b/dataplane/src/main/java/dewplank/dataplane/DecodeResponseListener.java
@@ -102,7 +102,7 @@
 
     private StreamEnd streamEnd() {
         boolean framed = headers.get("Content-Length") != null || headers.get("Transfer-Encoding") != null;
-        boolean truncated = !framed && !request.attempts.isHead() && (!relay.isStarted() || relay.isMidEvent());
+        boolean truncated = !framed && !request.attempts.isHead() && (!relay.isStarted() || relay.hasIncompleteEvent());
         return truncated ? StreamEnd.TRUNCATED : StreamEnd.COMPLETE;
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
+++ b/dataplane/src/main/java/dewplank/dataplane/FleetMetadata.java
@@ -39,7 +39,7 @@
     private final Map<String, List<TrackedServer>> serversByService = new HashMap<>();
     private List<Member> members = List.of();
     private long membersDigest;
-    private int dataPlanes;
+    private int dataPlaneCount;
 
     FleetMetadata(Scheduler loop) {
         this.loop = loop;
@@ -187,7 +187,7 @@
     void updateMembers(List<Member> newer) {
         members = List.copyOf(newer);
         membersDigest = SessionTable.digest(members);
-        dataPlanes =
+        dataPlaneCount =
                 (int) members.stream().filter(m -> m.role.equals(Member.DATA)).count();
     }
 
@@ -196,8 +196,8 @@
     }
 
     /** The number of data planes in the membership, including this one; 0 before the first report. */
-    int dataPlanes() {
-        return dataPlanes;
+    int dataPlaneCount() {
+        return dataPlaneCount;
     }
 
     /** Identifies the current membership to control planes; 0 before the first report. */
--- a/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
+++ b/dataplane/src/main/java/dewplank/dataplane/Forwarder.java
@@ -128,7 +128,7 @@
      * complete.
      */
     void onFleetChanged() {
-        retryBudgets.recordMembership(fleet.dataPlanes());
+        retryBudgets.recordMembership(fleet.dataPlaneCount());
         if (fleet.configuration() != null) {
             quotas.retainTenants(fleet.configuration().tenantDirectory());
         }
@@ -138,7 +138,7 @@
     }
 
     private void admit(InboundConnection.Request request, InboundConnection connection, double arrivedAt) {
-        if (open.size() + admission.waiting() >= MAX_OPEN_REQUESTS) {
+        if (open.size() + admission.waitingCount() >= MAX_OPEN_REQUESTS) {
             reject(connection);
         } else {
             admission.decide(request, connection, arrivedAt);
@@ -169,7 +169,7 @@
     // ---- connections ----------------------------------------------------------------------------------
 
     @Override
-    public void callerGone(InboundConnection connection) {
+    public void clientDisconnected(InboundConnection connection) {
         awaitingMetadata.drop(connection);
         admission.drop(connection);
         ProxiedRequest request = open.remove(connection);
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void connectionEnded(InboundConnection connection) {
+    public void connectionClosed(InboundConnection connection) {
         connections.remove(connection);
     }
 
@@ -207,7 +207,7 @@
     }
 
     int openRequests() {
-        return open.size() + awaitingMetadata.size() + admission.waiting();
+        return open.size() + awaitingMetadata.size() + admission.waitingCount();
     }
 
     int openConnections() {
@@ -230,7 +230,7 @@
      * Ends all open requests when the process terminates. The status of each response depends on whether the request
      * may have run.
      */
-    void terminateAll() {
+    void respondToAll() {
         awaitingMetadata.releaseAll((request, connection, arrivedAt) -> reject(connection));
         admission.rejectAll();
         List.copyOf(open.values()).forEach(ProxiedRequest::terminate);
--- a/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GenerationRequest.java
@@ -17,7 +17,8 @@
  * must be used on the event loop's thread only.
  */
 final class GenerationRequest extends ProxiedRequest {
-    private static final RoutingParameters.LastResort DECODE_PREFILL_DEADLINE = RoutingParameters.DEFAULTS.lastResort();
+    private static final RoutingParameters.DecodePrefillDeadline DECODE_PREFILL_DEADLINE =
+            RoutingParameters.DEFAULTS.decodePrefillDeadline();
 
     /** Highest value, and lowest urgency, of the {@link HeaderNames#PRIORITY} field; 0 is the most urgent. */
     private static final int MAX_PRIORITY_LEVEL = 9;
--- a/dataplane/src/main/java/dewplank/dataplane/GracefulShutdown.java
+++ b/dataplane/src/main/java/dewplank/dataplane/GracefulShutdown.java
@@ -53,7 +53,7 @@
         if (!drained.await((long) schedule.terminateMs(), TimeUnit.MILLISECONDS)) {
             loop.execute(() -> {
                 LOG.warn("drain timeout openRequests={}", forwarder.openRequests());
-                forwarder.terminateAll();
+                forwarder.respondToAll();
             });
             drained.await((long) DrainSchedule.lastResponsesMs(), TimeUnit.MILLISECONDS);
         }
@@ -73,7 +73,7 @@
 
     private void completeDrainWhenIdle(double readUntil) {
         boolean closePartlyRead = loop.now() >= readUntil;
-        forwarder.connections().forEach(c -> c.endIfIdle(closePartlyRead));
+        forwarder.connections().forEach(c -> c.closeIfIdle(closePartlyRead));
         if (forwarder.openConnections() == 0 && forwarder.openRequests() == 0 && !front.hasOpenConnections()) {
             closePeerConnections.run();
             LOG.info("drained");
--- a/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
+++ b/dataplane/src/main/java/dewplank/dataplane/HealthGossip.java
@@ -75,7 +75,7 @@
     private Set<Integer> suspected(double now) {
         Set<Integer> suspected = new HashSet<>();
         for (Server server : fleet.allServers()) {
-            if (server.state.outcomes().isSuspect(now)) {
+            if (server.state.outcomes().isSuspected(now)) {
                 suspected.add(server.state.instanceId().hashCode());
             }
         }
@@ -109,7 +109,7 @@
         for (Server server : fleet.allServers()) {
             int hash = server.state.instanceId().hashCode();
             OutcomeWindow outcomes = server.state.outcomes();
-            if (outcomes.isSuspect(now)) {
+            if (outcomes.isSuspected(now)) {
                 suspected.add(new HealthSummary.Suspected(
                         hash, outcomes.failureCount(now), now - outcomes.lastFailureAtMs()));
             } else if (now - outcomes.lastSuccessAtMs() <= PARAMETERS.successValidMs()) {
--- a/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
+++ b/dataplane/src/main/java/dewplank/dataplane/KvHandle.java
@@ -36,7 +36,7 @@
                                 .header(HeaderNames.TARGET_INSTANCE, server.state.instanceId())
                                 .body(new byte[0]),
                         listener)
-                .exclusive();
+                .useDedicatedConnection();
         delete.start(forwarder.connectTimeoutMs());
         listener.cancelWhenOver(loop.after(FREE_TIMEOUT_MS, delete::cancel));
     }
--- a/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ProxiedRequest.java
@@ -159,7 +159,7 @@
             end();
             forwarder.counters().add(status < 300 ? Count.SERVED : Count.SERVER_ERRORS);
             forwarder.onRequestEnded(client);
-            client.answer(status, headers, body);
+            client.respond(status, headers, body);
         }
     }
 
@@ -180,7 +180,7 @@
             double waitMs = RETRY_AFTER_MS
                     * (RETRY_AFTER_MIN_FACTOR + forwarder.random().nextDouble());
             String seconds = String.format(Locale.ROOT, "%.3f", waitMs / MS_PER_SECOND);
-            client.answer(503, List.of(new Headers.Field("Retry-After", seconds)), new byte[0]);
+            client.respond(503, List.of(new Headers.Field("Retry-After", seconds)), new byte[0]);
         }
     }
 
@@ -199,7 +199,7 @@
             cancelAttempts();
             forwarder.counters().add(Count.FAILED);
             forwarder.onRequestEnded(client);
-            client.answer(status == 503 ? 502 : status);
+            client.respond(status == 503 ? 502 : status);
         }
     }
 
--- a/dataplane/src/main/java/dewplank/dataplane/QuotaClient.java
+++ b/dataplane/src/main/java/dewplank/dataplane/QuotaClient.java
@@ -5,8 +5,8 @@
 import dewplank.message.QuotaReply;
 import dewplank.message.QuotaRequest;
 import dewplank.net.Scheduler;
-import dewplank.quota.QuotaTerms;
-import dewplank.quota.TokenStock;
+import dewplank.quota.QuotaBounds;
+import dewplank.quota.TokenCache;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -58,16 +58,16 @@
     private static final Decision UNAVAILABLE = new Decision.Unavailable();
 
     private final Scheduler loop;
-    private final QuotaTerms terms;
+    private final QuotaBounds bounds;
     private final Map<String, TenantQueue> queues = new HashMap<>();
     private final Map<Long, TenantQueue> pendingRequests = new HashMap<>();
     private ControlPlanes controlPlanes = tried -> Optional.empty();
     private int waitingRequests;
     private long lastRequestId;
 
-    QuotaClient(Scheduler loop, QuotaTerms terms) {
+    QuotaClient(Scheduler loop, QuotaBounds bounds) {
         this.loop = loop;
-        this.terms = terms;
+        this.bounds = bounds;
     }
 
     /** Sets the control planes; before the first call, none is available. */
@@ -111,7 +111,7 @@
     /** One tenant's requests that wait for tokens, and its unused tokens. */
     private final class TenantQueue {
         private final String tenant;
-        private final TokenStock stock = new TokenStock(terms.tokenLifetimeMs());
+        private final TokenCache cache = new TokenCache(bounds.tokenLifetimeMs());
         private final Deque<Callback> waiting = new ArrayDeque<>();
         private Optional<ControlSession> session = Optional.empty();
         /** Null while no quota request is pending. */
@@ -141,11 +141,11 @@
 
         void acquire(Callback callback) {
             double now = loop.now();
-            stock.recordRequest(now);
-            if (waiting.isEmpty() && stock.tryTake(now)) {
+            cache.recordRequest(now);
+            if (waiting.isEmpty() && cache.tryTake(now)) {
                 callback.onDecision(ADMITTED);
-            } else if (stock.isRefused(now)) {
-                callback.onDecision(new Decision.Exhausted(stock.refusedUntilMs() - now));
+            } else if (cache.isExhausted(now)) {
+                callback.onDecision(new Decision.Exhausted(cache.exhaustedUntilMs() - now));
             } else if (waitingRequests >= MAX_WAITING) {
                 callback.onDecision(UNAVAILABLE);
             } else {
@@ -175,7 +175,7 @@
             pendingRequests.put(requestId, this);
             timeout = loop.after(REPLY_TIMEOUT_MS, this::onNoReply);
             waitingAtRequest = waiting.size();
-            int tokens = Math.max(waiting.size(), stock.tokensToRequest(requestedAt));
+            int tokens = Math.max(waiting.size(), cache.tokensToRequest(requestedAt));
             session.get().send(new QuotaRequest(requestId, tenant, tokens, false));
         }
 
@@ -197,7 +197,7 @@
             switch (reply.outcome) {
                 case GRANTED -> onGranted(reply.tokens);
                 case EXHAUSTED -> {
-                    stock.recordRefusal(loop.now(), reply.retryAfterMs);
+                    cache.recordExhausted(loop.now(), reply.retryAfterMs);
                     decideAll(new Decision.Exhausted(reply.retryAfterMs));
                 }
                 default -> requestTokens();
@@ -207,11 +207,11 @@
         private void onGranted(int tokens) {
             double now = loop.now();
             int tokensForWaiting = Math.min(tokens, waitingAtRequest);
-            stock.add(now, tokens - tokensForWaiting, requestedAt);
+            cache.add(now, tokens - tokensForWaiting, requestedAt);
             for (int token = 0; token < tokensForWaiting; token++) {
                 admitNext();
             }
-            while (!waiting.isEmpty() && stock.tryTake(now)) {
+            while (!waiting.isEmpty() && cache.tryTake(now)) {
                 admitNext();
             }
             requestTokensIfNeeded();
--- a/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ReadinessEndpoint.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void connectionEnded(InboundConnection connection) {
+    public void connectionClosed(InboundConnection connection) {
         connections.remove(connection);
     }
 
@@ -51,12 +51,12 @@
     public void handle(InboundConnection.Request request, InboundConnection connection) {
         PathRouter.Match<Integer> match = router.find(request.method(), request.target());
         if (match.handler() != null) {
-            connection.answer(ready.getAsBoolean() ? match.handler() : 503);
+            connection.respond(ready.getAsBoolean() ? match.handler() : 503);
         } else {
-            connection.answer(match.pathExists() ? 405 : 404);
+            connection.respond(match.pathExists() ? 405 : 404);
         }
     }
 
     @Override
-    public void callerGone(InboundConnection connection) {}
+    public void clientDisconnected(InboundConnection connection) {}
 }
--- a/dataplane/src/main/java/dewplank/dataplane/RequestAdmission.java
+++ b/dataplane/src/main/java/dewplank/dataplane/RequestAdmission.java
@@ -64,7 +64,7 @@
         Route route = fleet.routes().find(host == null ? "" : host, request.target());
         if (route == null) {
             counters.add(Count.NO_ROUTE);
-            connection.answer(404);
+            connection.respond(404);
             return;
         }
         Credentials credentials = new Credentials(accessControl, route, request.headers());
@@ -74,7 +74,7 @@
     /** Rejects a request that has not been sent to a server; the response states when to retry. */
     void reject(InboundConnection connection, double retryAfterMs) {
         counters.add(Count.REFUSED);
-        connection.answer(503, List.of(retryAfter(retryAfterMs)), new byte[0]);
+        connection.respond(503, List.of(retryAfter(retryAfterMs)), new byte[0]);
     }
 
     private static Headers.Field retryAfter(double ms) {
@@ -87,7 +87,7 @@
     }
 
     /** The number of requests that wait for a token. */
-    int waiting() {
+    int waitingCount() {
         return awaitingQuota.size();
     }
 
@@ -129,7 +129,7 @@
                 acquireToken(allowed.tenant());
             } else if (decision instanceof AccessControl.Decision.UnknownKey) {
                 counters.add(Count.UNKNOWN_KEY);
-                connection.answer(401, List.of(new Headers.Field("WWW-Authenticate", "Bearer")), new byte[0]);
+                connection.respond(401, List.of(new Headers.Field("WWW-Authenticate", "Bearer")), new byte[0]);
             } else {
                 counters.add(Count.ACCESS_UNCONFIRMED);
                 reject(connection, Forwarder.RETRY_AFTER_MS);
@@ -153,7 +153,7 @@
         private void onQuotaDecided(QuotaClient.Decision decision) {
             if (decision instanceof QuotaClient.Decision.Exhausted exhausted) {
                 counters.add(Count.QUOTA_EXHAUSTED);
-                connection.answer(429, List.of(retryAfter(exhausted.retryAfterMs())), new byte[0]);
+                connection.respond(429, List.of(retryAfter(exhausted.retryAfterMs())), new byte[0]);
             } else if (decision instanceof QuotaClient.Decision.Unavailable) {
                 counters.add(Count.QUOTA_UNAVAILABLE);
                 reject(connection, Forwarder.RETRY_AFTER_MS);
--- a/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
+++ b/dataplane/src/main/java/dewplank/dataplane/ServerAttempt.java
@@ -39,7 +39,7 @@
 
     /** Makes the attempt use a connection that carries no other call, neither before nor after it. */
     void useDedicatedConnection() {
-        call.exclusive();
+        call.useDedicatedConnection();
     }
 
     /** Sets a condition that is checked once the connection is open, immediately before the request is written. */
@@ -66,7 +66,7 @@
     }
 
     boolean isOver() {
-        return call.isOver();
+        return call.isDone();
     }
 
     /**
--- a/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
+++ b/dataplane/src/main/java/dewplank/dataplane/StreamRelay.java
@@ -29,8 +29,8 @@
     }
 
     /** Whether the last bytes received are an incomplete event. */
-    boolean isMidEvent() {
-        return events.isMidEvent();
+    boolean hasIncompleteEvent() {
+        return events.hasIncompleteEvent();
     }
 
     /** The id of the event after which the stream can be continued; empty before the first event with an id. */
@@ -56,7 +56,7 @@
     /** Sends the head of the response. */
     void start(int status, Headers headers) {
         started = true;
-        client.beginAnswer(status, headers.endToEnd());
+        client.startResponse(status, headers.endToEnd());
     }
 
     void write(byte[] completeEvents) {
@@ -64,6 +64,6 @@
     }
 
     void end() {
-        client.endAnswer();
+        client.endResponse();
     }
 }
--- a/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
+++ b/dataplane/src/main/java/dewplank/dataplane/UnaryRequest.java
@@ -75,11 +75,13 @@
         boolean allowsTrial = isIdempotent() && allowance.isUnused();
         Optional<TrackedServer> picked = forwarder
                 .picker()
-                .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, attempts::isUnattempted, allowsTrial));
+                .pick(
+                        loop.now(),
+                        ServerPicker.PickArguments.comparingInFlight(servers, attempts::isUnattempted, allowsTrial));
         if (picked.isEmpty()) { // the request was sent to all eligible servers: reuse one of them
             picked = forwarder
                     .picker()
-                    .pick(loop.now(), ServerPicker.PickArguments.byInFlight(servers, s -> true, false));
+                    .pick(loop.now(), ServerPicker.PickArguments.comparingInFlight(servers, s -> true, false));
         }
         return picked.map(forwarder.fleet()::server).orElse(null);
     }
--- a/dataplane/src/test/java/dewplank/dataplane/AccessKeyTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/AccessKeyTest.java
@@ -4,8 +4,8 @@
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertRejected;
 import static dewplank.dataplane.Expectations.assertServed;
-import static dewplank.dataplane.ServerAnswers.handOver;
-import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerResponses.reject;
+import static dewplank.dataplane.ServerResponses.respondWithKvHandle;
 import static dewplank.dataplane.TestConfiguration.MODEL;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
 import static dewplank.dataplane.TestRoute.safeRoute;
@@ -19,7 +19,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.stream.Collectors;
@@ -77,12 +77,12 @@
     }
 
     /** Waits until the client receives a response or a server receives a request, whichever is first. */
-    private void awaitResponseOrCall(Wire client) throws Exception {
+    private void awaitResponseOrCall(TestPeer client) throws Exception {
         OnLoop.await(fixture.loop, () -> client.hasBytes() || !fixture.servers.calls.isEmpty());
     }
 
     /** The client's response, before which no server receives a request. */
-    private Wire.Message responseWithoutCall(Wire client) throws Exception {
+    private TestPeer.Message responseWithoutCall(TestPeer client) throws Exception {
         awaitResponseOrCall(client);
         assertTrue(fixture.servers.calls.isEmpty(), "a server received the request");
         return client.read();
@@ -94,7 +94,7 @@
     }
 
     private void assertAllowed(String target, String fields) throws Exception {
-        Wire client = fixture.sendRequest(target, fields);
+        TestPeer client = fixture.sendRequest(target, fields);
         awaitResponseOrCall(client);
         assertFalse(fixture.servers.calls.isEmpty(), "the request was not forwarded");
         assertServed(fixture.nextCall(), client, "served");
@@ -107,7 +107,7 @@
         fixture.servers.plain();
         assertAllowed("/safe/", KEY);
         assertAllowed("/once/", KEY);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -116,7 +116,7 @@
         changeTenants(tenantWithKeys("k-1", "k-2"));
         assertAllowed("/safe/", KEY);
         assertAllowed("/safe/", ADDED_KEY);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -124,7 +124,7 @@
     void anUnknownKeyIsRejectedWith401(String key) throws Exception {
         fixture.servers.plain();
         assertUnauthorized("/safe/", bearer(key));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -134,7 +134,7 @@
         fixture.servers.prefill();
         fixture.servers.decode();
         assertUnauthorized(target, PROMPT);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -142,7 +142,7 @@
     void anAuthorizationFieldWithoutABearerKeyIsRejectedWith401(String value) throws Exception {
         fixture.servers.plain();
         assertUnauthorized("/safe/", "Authorization: " + value + "\r\n");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -150,7 +150,7 @@
     void schemeAndFieldNameAreCaseInsensitive(String field) throws Exception {
         fixture.servers.plain();
         assertAllowed("/safe/", field + "\r\n");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The choice between two fields would depend on the parser, so such a request counts as having no key. */
@@ -160,17 +160,17 @@
         fixture.servers.plain();
         assertUnauthorized("/safe/", KEY + bearer(second));
         assertUnauthorized("/safe/", bearer(second) + KEY);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aClientWithAnUnknownKeyMayRetryWithAnotherKeyOnItsConnection() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/safe/", ADDED_KEY);
+        TestPeer client = fixture.sendRequest("/safe/", ADDED_KEY);
         assertEquals(401, responseWithoutCall(client).status());
         client.send(request("/safe/", KEY, "hi"));
         assertServed(fixture.nextCall(), client, "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- required keys --------------------------------------------------------------------------------
@@ -181,7 +181,7 @@
         assertAllowed("/open/", "");
         assertAllowed("/open/", KEY);
         assertAllowed("/open/", bearer("unknown"));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -192,7 +192,7 @@
         assertUnauthorized("/safe/", bearer(""));
         assertUnauthorized("/safe/", "");
         assertAllowed("/open/", "");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The removal of the last tenant must not give access without a key. */
@@ -203,7 +203,7 @@
         assertUnauthorized("/safe/", KEY);
         assertUnauthorized("/safe/", "");
         assertAllowed("/open/", "");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -212,21 +212,21 @@
         changeTenants(WITHOUT_TENANTS);
         assertAllowed("/safe/", "");
         assertAllowed("/safe/", bearer("unknown"));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRequestThatWaitedForTheFirstConfigurationRequiresAKey() throws Exception {
         try (ForwarderFixture empty = ForwarderFixture.builder().start()) {
             empty.servers.plain();
-            Wire client = empty.sendRequest("/safe/");
+            TestPeer client = empty.sendRequest("/safe/");
             OnLoop.await(empty.loop, () -> empty.forwarder.openRequests() == 1);
             empty.tenants(tenantWithKeys("k-1"), ROUTES);
             OnLoop.run(empty.loop, empty.forwarder::onFleetChanged);
             OnLoop.await(empty.loop, () -> client.hasBytes() || !empty.servers.calls.isEmpty());
             assertTrue(empty.servers.calls.isEmpty(), "a server received the request");
             assertEquals(401, client.read().status());
-            empty.assertQuiet();
+            empty.assertNoOpenRequests();
         }
     }
 
@@ -238,7 +238,7 @@
         assertUnauthorized("/safe/", ADDED_KEY);
         changeTenants(tenantWithKeys("k-1", "k-2"));
         assertAllowed("/safe/", ADDED_KEY);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -249,19 +249,19 @@
         fixture.servers.decode();
         revokeAllKeys();
         assertUnauthorized(target, KEY + PROMPT);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aPipelinedRequestIsAuthorizedWhenItIsProcessed() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/safe/", KEY);
+        TestPeer client = fixture.sendRequest("/safe/", KEY);
         Call first = fixture.nextCall();
         client.send(request("/safe/ahead", KEY, ""));
         revokeAllKeys();
         assertServed(first, client, "served");
         assertEquals(401, responseWithoutCall(client).status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A request that was sent to a server is completed: a change of the configuration aborts no response. */
@@ -269,14 +269,14 @@
     void aRequestInFlightIsServedAfterItsKeyIsRevoked() throws Exception {
         fixture.servers.plain();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/once/", KEY);
+        TestPeer client = fixture.sendRequest("/once/", KEY);
         Call call = fixture.nextCall();
-        BegunStream stream = BegunStream.begin(fixture, "/gen/", KEY + PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/gen/", KEY + PROMPT);
         revokeAllKeys();
         assertServed(call, client, "served");
         stream.assertRelays(2);
         stream.assertEnds();
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- requests that would be retried -----------------------------------------------------------------
@@ -284,34 +284,34 @@
     @TestOnSafeAndUnsafeRoutes
     void aRejectedAttemptIsNotRetriedAfterItsKeyIsRevoked(String target) throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest(target, KEY);
+        TestPeer client = fixture.sendRequest(target, KEY);
         Call rejected = fixture.nextCall();
         revokeAllKeys();
         reject(rejected);
         assertRejected(responseWithoutCall(client));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anAttemptThatMayHaveRunFailsWithoutARetryAfterItsKeyIsRevoked() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/safe/", KEY);
+        TestPeer client = fixture.sendRequest("/safe/", KEY);
         Call broken = fixture.nextCall();
         revokeAllKeys();
-        broken.wire().reset();
+        broken.peer().reset();
         assertEquals(502, responseWithoutCall(client).status(), "the attempt may have run");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRequestIsNotSentIfItsKeyIsRevokedBeforeTheConnectionIsEstablished() throws Exception {
-        ScriptedServer late = fixture.servers.add(ScriptedServer.late(fixture.servers.calls), PLAIN, null);
-        Wire client = fixture.sendRequest("/safe/", KEY);
+        ScriptedServer late = fixture.servers.add(ScriptedServer.withDelayedAccept(fixture.servers.calls), PLAIN, null);
+        TestPeer client = fixture.sendRequest("/safe/", KEY);
         awaitInFlight(PLAIN, late);
         revokeAllKeys();
-        late.letIn();
+        late.acceptConnections();
         assertRejected(responseWithoutCall(client));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     private void awaitInFlight(String service, ScriptedServer server) throws Exception {
@@ -323,71 +323,72 @@
     void aPrefilledRequestIsNotDecodedAfterItsKeyIsRevokedAndItsHandleIsReleased() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", KEY + PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", KEY + PROMPT);
         Call prefillCall = fixture.nextCall();
         revokeAllKeys();
-        handOver(prefillCall, "h1");
+        respondWithKvHandle(prefillCall, "h1");
         Call next = fixture.nextCall();
         assertEquals("DELETE /kv-handle/h1 HTTP/1.1", next.message().startLine());
         assertSame(prefill, next.server());
         assertRejected(responseWithoutCall(client));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRejectedPrefillIsNotRetriedAfterItsKeyIsRevoked() throws Exception {
         fixture.servers.prefillServers(2);
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", KEY + PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", KEY + PROMPT);
         Call rejected = fixture.nextCall();
         revokeAllKeys();
         reject(rejected);
         assertRejected(responseWithoutCall(client));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRejectedDecodeIsNotRetriedAfterItsKeyIsRevoked() throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/gen/", KEY + PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", KEY + PROMPT);
         Call rejected = fixture.nextCall();
         revokeAllKeys();
         reject(rejected);
         assertRejected(responseWithoutCall(client));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aDecodeIsNotSentIfItsKeyIsRevokedBeforeTheConnectionIsEstablished() throws Exception {
-        ScriptedServer late = fixture.servers.add(ScriptedServer.late(fixture.servers.calls), MODEL, "decode");
-        Wire client = fixture.sendRequest("/gen/", KEY);
+        ScriptedServer late =
+                fixture.servers.add(ScriptedServer.withDelayedAccept(fixture.servers.calls), MODEL, "decode");
+        TestPeer client = fixture.sendRequest("/gen/", KEY);
         awaitInFlight(MODEL, late);
         revokeAllKeys();
-        late.letIn();
+        late.acceptConnections();
         assertRejected(responseWithoutCall(client));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aBrokenStreamIsNotResumedAfterItsKeyIsRevoked() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(fixture, "/res/", KEY + PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/res/", KEY + PROMPT);
         revokeAllKeys();
         stream.server().reset();
         OnLoop.await(fixture.loop, () -> fixture.forwarder.openRequests() == 0 || !fixture.servers.calls.isEmpty());
         assertTrue(fixture.servers.calls.isEmpty(), "a server received the request");
         Expectations.assertAborted(stream.client());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRetryIsSentIfTheKeyWasReassignedToAnotherTenant() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/", KEY);
+        TestPeer client = fixture.sendRequest("/once/", KEY);
         Call rejected = fixture.nextCall();
         changeTenants(tenantWithKeys("k-1").replace("acme", "birch"));
         reject(rejected);
         assertServed(fixture.nextCall(), client, "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ClientTimeoutsTest.java
@@ -2,7 +2,7 @@
 
 import static dewplank.dataplane.ClientRequests.HOST;
 import static dewplank.dataplane.ClientRequests.request;
-import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.ServerResponses.serve;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,7 +13,7 @@
 import dewplank.exchange.InboundConnection;
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
@@ -79,16 +79,16 @@
         try (ForwarderFixture fixture =
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
             fixture.servers.plain();
-            Wire client = fixture.client();
+            TestPeer client = fixture.client();
             OnLoop.await(fixture.loop, () -> fixture.forwarder.openConnections() == 1);
             assertTimesOutAfter(fixture, 15_000);
             client.send("POST /once/ HTTP/1.1\r\nHost: " + HOST + "\r\n");
             OnLoop.await(
-                    fixture.loop, () -> fixture.forwarder.connections().get(0).isHalfRead());
+                    fixture.loop, () -> fixture.forwarder.connections().get(0).hasPartialRequest());
             assertTimesOutAfter(fixture, 3_000);
             client.send("Content-Length: 4\r\n\r\nab");
             OnLoop.await(
-                    fixture.loop, () -> fixture.forwarder.connections().get(0).isHeadRead());
+                    fixture.loop, () -> fixture.forwarder.connections().get(0).hasPartialRequestWithHead());
             assertTimesOutAfter(fixture, 15_000);
             client.send("cd");
             serve(fixture.nextCall(), "");
@@ -105,7 +105,7 @@
         try (ForwarderFixture fixture =
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
             fixture.servers.plain();
-            Wire client = fixture.sendRequest("/once/");
+            TestPeer client = fixture.sendRequest("/once/");
             Call call = fixture.nextCall();
             OnLoop.run(
                     fixture.loop,
@@ -136,11 +136,11 @@
                 ForwarderFixture.builder().routes(unsafeRoute("once", 1)).start()) {
             fixture.servers.plain();
             applyMaxHeaderBytes(fixture, 60 * KIB);
-            Wire client = fixture.client();
+            TestPeer client = fixture.client();
             client.send(requestWithLongHead(59 * KIB));
             serve(fixture.nextCall(), "");
             assertEquals(200, client.read().status());
-            Wire tooLong = fixture.client();
+            TestPeer tooLong = fixture.client();
             tooLong.send(requestWithLongHead(70 * KIB));
             assertEquals(431, tooLong.read().status());
         }
@@ -150,7 +150,7 @@
     @Test
     void aLongHeadIsRejectedWithRetryAfterWithoutAConfiguration() throws Exception {
         try (ForwarderFixture fixture = ForwarderFixture.builder().start()) {
-            Wire client = fixture.client();
+            TestPeer client = fixture.client();
             client.send(requestWithLongHead(60 * KIB));
             assertEquals(503, client.read().status());
         }
--- a/dataplane/src/test/java/dewplank/dataplane/ConfigurationConfirmationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ConfigurationConfirmationTest.java
@@ -2,7 +2,7 @@
 
 import static dewplank.dataplane.Expectations.assertRejected;
 import static dewplank.dataplane.FleetUpdates.complete;
-import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerResponses.reject;
 import static dewplank.dataplane.TestRoute.safeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,7 +18,7 @@
 import dewplank.dataplane.FakeControlPlane.Session;
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.message.ConfirmedConfiguration;
 import dewplank.message.HeartbeatAck;
 import dewplank.message.SessionHeartbeat;
@@ -399,7 +399,7 @@
         confirm(session, before, 7, 0);
         fixture.pause(VALIDITY_MS + 1);
         SentHeartbeat after = nextHeartbeat(session);
-        assertFalse(session.isEnded());
+        assertFalse(session.isClosed());
         assertEquals(before.atMs(), confirmedAt());
         assertUnconfirmed();
         confirm(session, after, 7, 0);
@@ -435,7 +435,7 @@
     }
 
     private static void assertServed(ForwarderFixture forwarder, String target) throws Exception {
-        Wire client = forwarder.sendRequest(target, BEARER);
+        TestPeer client = forwarder.sendRequest(target, BEARER);
         Expectations.assertServed(forwarder.nextCall(), client, "served");
     }
 
@@ -458,7 +458,7 @@
             assertTrue(isReady(forwarder));
             assertServed(forwarder, "/safe/");
             assertEquals(401, forwarder.sendRequest("/safe/").read().status());
-            forwarder.assertQuiet();
+            forwarder.assertNoOpenRequests();
         }
     }
 
@@ -467,12 +467,12 @@
         try (ForwarderFixture forwarder = forwarder(SHORT_REVOKE_MS).start()) {
             forwarder.servers.plainServers(2);
             forwarder.confirm(0);
-            Wire client = forwarder.sendRequest("/again/", BEARER);
+            TestPeer client = forwarder.sendRequest("/again/", BEARER);
             Call call = forwarder.nextCall();
-            forwarder.pass(SHORT_REVOKE_MS);
+            forwarder.waitOnLoop(SHORT_REVOKE_MS);
             reject(call);
             assertRejected(client.read());
-            forwarder.assertQuiet();
+            forwarder.assertNoOpenRequests();
         }
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/Expectations.java
+++ b/dataplane/src/test/java/dewplank/dataplane/Expectations.java
@@ -1,15 +1,15 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ServerAnswers.event;
-import static dewplank.dataplane.ServerAnswers.sendStream;
-import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.ServerResponses.event;
+import static dewplank.dataplane.ServerResponses.sendStream;
+import static dewplank.dataplane.ServerResponses.serve;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 
 /** Assertions on clients' responses, some of which send the server's response first. */
@@ -17,33 +17,33 @@
     private Expectations() {}
 
     /** The server responds, and the client receives the body of that response. */
-    static void assertServed(Call call, Wire client, String body) throws IOException {
+    static void assertServed(Call call, TestPeer client, String body) throws IOException {
         serve(call, body);
         assertEquals(body, client.read().body());
     }
 
     /** The server sends a stream of one event, and the client receives it as the complete body of its response. */
-    static void assertStreamed(Call decode, Wire client, int eventId) throws IOException {
+    static void assertStreamed(Call decode, TestPeer client, int eventId) throws IOException {
         sendStream(decode, eventId);
         assertEquals(event(eventId), client.read().body());
     }
 
     /** The server sends a stream of one event, and the client receives it as the rest of a started body. */
-    static void assertResumed(Call decode, Wire client, int eventId) throws IOException {
+    static void assertResumed(Call decode, TestPeer client, int eventId) throws IOException {
         sendStream(decode, eventId);
         assertEquals(event(eventId), client.readChunk());
         assertEquals("", client.readChunk());
     }
 
     /** The response is a 503 with Retry-After, which means that the request has not run. */
-    static void assertRejected(Wire.Message response) {
+    static void assertRejected(TestPeer.Message response) {
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
         assertNull(response.header("X-Dewplank-Server-Seal"));
     }
 
     /** The client's connection is closed without an end of the body and without a second head. */
-    static void assertAborted(Wire client) throws IOException {
+    static void assertAborted(TestPeer client) throws IOException {
         String received = client.readToEnd();
         assertFalse(received.endsWith("0\r\n\r\n"), received);
         assertFalse(received.contains("HTTP/1.1"), received);
--- a/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FakeControlPlane.java
@@ -69,7 +69,7 @@
         private final BlockingQueue<QuotaRequest> quotaRequests = new LinkedBlockingQueue<>();
         private final AtomicLong sentCount = new AtomicLong();
         private final AtomicLong receivedCount = new AtomicLong();
-        private volatile boolean ended;
+        private volatile boolean closed;
 
         Session(Socket socket) {
             this.socket = socket;
@@ -86,7 +86,7 @@
             } catch (CorruptFrameException e) {
                 throw new IOException(e);
             } finally {
-                ended = true;
+                closed = true;
             }
         }
 
@@ -168,16 +168,16 @@
             return !quotaRequests.isEmpty();
         }
 
-        void awaitEnd() throws Exception {
-            waiter.await(this::isEnded);
+        void awaitClose() throws Exception {
+            waiter.await(this::isClosed);
         }
 
-        boolean isEnded() {
-            return ended;
+        boolean isClosed() {
+            return closed;
         }
 
         void reset() throws IOException {
-            ended = true;
+            closed = true;
             socket.setSoLinger(true, 0);
             socket.close();
         }
--- a/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/FleetMetadataTest.java
@@ -5,7 +5,7 @@
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertResumed;
 import static dewplank.dataplane.Expectations.assertServed;
-import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.ServerResponses.serve;
 import static dewplank.dataplane.TestConfiguration.OTHER;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
 import static dewplank.dataplane.TestRoute.safeRoute;
@@ -20,7 +20,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.message.Endpoint;
 import dewplank.message.EndpointList;
 import dewplank.message.EndpointListVersion;
@@ -130,13 +130,13 @@
     void idleConnectionsToADrainingServerAreClosed() throws Exception {
         fixture.routes(unsafeRoute("once", 1));
         ScriptedServer server = fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
         serve(call, "");
         client.read();
-        assertFalse(call.wire().isEnded());
+        assertFalse(call.peer().isClosedByPeer());
         fixture.servers.drain(server);
-        call.wire().awaitEnd();
+        call.peer().awaitClose();
         assertEquals(503, fixture.sendRequest("/once/").read().status());
         assertEquals(0, fixture.servers.calls.size());
     }
@@ -145,22 +145,22 @@
     void aRequestInFlightAtADrainingServerIsServedAndItsConnectionClosed() throws Exception {
         fixture.routes(unsafeRoute("once", 1));
         ScriptedServer server = fixture.servers.plain();
-        Wire drained = fixture.sendRequest("/once/");
+        TestPeer drained = fixture.sendRequest("/once/");
         Call atDrain = fixture.nextCall();
         fixture.servers.drain(server);
         assertServed(atDrain, drained, "drained");
-        atDrain.wire().awaitEnd();
+        atDrain.peer().awaitClose();
     }
 
     @Test
     void aRequestInFlightAtARemovedServerIsServedAndItsConnectionClosed() throws Exception {
         fixture.routes(unsafeRoute("once", 1));
         ScriptedServer server = fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
         fixture.servers.remove(server);
         assertServed(call, client, "gone");
-        call.wire().awaitEnd();
+        call.peer().awaitClose();
         assertEquals(503, fixture.sendRequest("/once/").read().status());
     }
 
@@ -168,13 +168,13 @@
     void aStreamInFlightAtADrainingServerContinues() throws Exception {
         fixture.routes(streamingRoute("gen", 1));
         ScriptedServer server = fixture.servers.decode();
-        BegunStream stream = BegunStream.begin(fixture, "/gen/", PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/gen/", PROMPT);
         fixture.servers.drain(server);
         stream.assertRelays(2);
         fixture.servers.remove(server);
         stream.assertRelays(3);
         stream.assertEnds();
-        stream.server().awaitEnd();
+        stream.server().awaitClose();
     }
 
     /** A server that was removed resets a request: the retry is sent to a server of the new endpoint list. */
@@ -182,15 +182,15 @@
     void aRetryUsesTheNewEndpointList() throws Exception {
         fixture.routes(safeRoute("safe", 3));
         ScriptedServer old = fixture.servers.plain();
-        Wire client = fixture.sendRequest("/safe/");
+        TestPeer client = fixture.sendRequest("/safe/");
         Call call = fixture.nextCall();
         ScriptedServer next = fixture.servers.plain();
         fixture.servers.remove(old);
-        call.wire().reset();
+        call.peer().reset();
         Call retry = fixture.nextCall();
         assertSame(next, retry.server());
         assertServed(retry, client, "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- configuration changes -----------------------------------------------------------------------
@@ -200,9 +200,9 @@
         fixture.routes(unsafeRoute("r", 1), unsafeRoute("gone", 1));
         ScriptedServer old = fixture.servers.plain();
         ScriptedServer other = fixture.servers.server("other", null);
-        Wire client = fixture.sendRequest("/r/");
+        TestPeer client = fixture.sendRequest("/r/");
         Call before = fixture.nextCall();
-        Wire clientOfRemoved = fixture.sendRequest("/gone/");
+        TestPeer clientOfRemoved = fixture.sendRequest("/gone/");
         Call removed = fixture.nextCall();
         assertSame(old, before.server());
         client.send(request("/r/ahead", "", ""));
@@ -217,14 +217,14 @@
         assertEquals(404, clientOfRemoved.read().status());
         clientOfRemoved.send(request("/new/", "", ""));
         assertServed(fixture.nextCall(), clientOfRemoved, "added");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamIsResumedUnderTheConfigurationItStartedWith() throws Exception {
         fixture.routes(streamingRoute("gen", 2).asResumable());
         fixture.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(fixture, "/gen/", PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/gen/", PROMPT);
         fixture.routes(streamingRoute("gen", 1));
         stream.server().reset();
         assertResumed(fixture.nextCall(), stream.client(), 2);
--- a/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ForwarderFixture.java
@@ -8,7 +8,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.net.EventLoop;
 import dewplank.net.Listener;
 import dewplank.routing.HealthVotes;
@@ -51,13 +51,13 @@
     final FleetMetadata metadata = new FleetMetadata(loop);
     final ScriptedFleet servers = new ScriptedFleet(loop, metadata);
     /** The clock of {@link #quotas}: no quota reply becomes overdue unless the test advances it. */
-    final ManualScheduler quotaTime = new ManualScheduler(loop);
+    final ManualScheduler quotaClock = new ManualScheduler(loop);
     /** Has no control planes to query until the test connects some. */
-    final QuotaClient quotas = new QuotaClient(quotaTime, SessionFixture.QUOTA_TERMS);
+    final QuotaClient quotas = new QuotaClient(quotaClock, SessionFixture.QUOTA_BOUNDS);
 
     final Forwarder forwarder;
     private final Listener listener;
-    private final List<Wire> clients = new ArrayList<>();
+    private final List<TestPeer> clients = new ArrayList<>();
     private long configurationVersion;
     private String tenants = "";
 
@@ -130,8 +130,8 @@
         /**
          * Requests with access keys are served only within this time after the last {@link ForwarderFixture#confirm}.
          */
-        Builder withRevocationThatFailsClosed(double withinMs) {
-            revocation = new AccessControl.Revocation(true, withinMs);
+        Builder withRevocationThatFailsClosed(double rejectWithinMs) {
+            revocation = new AccessControl.Revocation(true, rejectWithinMs);
             return this;
         }
 
@@ -168,29 +168,29 @@
     }
 
     /** Opens a client's connection, which is closed with the fixture. */
-    Wire client() throws IOException {
-        Wire client = Wire.to((InetSocketAddress) listener.address());
+    TestPeer client() throws IOException {
+        TestPeer client = TestPeer.to((InetSocketAddress) listener.address());
         clients.add(client);
         return client;
     }
 
     /** Opens a client's connection and sends a request. */
-    Wire sendRequest(String target) throws IOException {
+    TestPeer sendRequest(String target) throws IOException {
         return sendRequest(target, "");
     }
 
-    Wire sendRequest(String target, String fields) throws IOException {
+    TestPeer sendRequest(String target, String fields) throws IOException {
         return sendRequest(target, fields, "hi");
     }
 
-    Wire sendRequest(String target, String fields, String body) throws IOException {
-        Wire client = client();
+    TestPeer sendRequest(String target, String fields, String body) throws IOException {
+        TestPeer client = client();
         client.send(ClientRequests.request(target, fields, body));
         return client;
     }
 
     /** A client and the call that carries its request to a server. */
-    record InFlight(Wire client, Call call) {}
+    record InFlight(TestPeer client, Call call) {}
 
     /**
      * Sends a request until one has reached a server before its deadline. If the machine is too slow for that, the
@@ -199,13 +199,13 @@
     InFlight sendUntilAtServer(String target, String fields) throws Exception {
         for (int sends = 0; sends < MAX_SENDS; sends++) {
             String request = ClientRequests.request(target, fields, "hi");
-            Wire client = client();
+            TestPeer client = client();
             client.send(request);
             OnLoop.await(loop, () -> hasCallOf(request) || client.hasBytes());
             if (hasCallOf(request)) {
                 return new InFlight(client, takeCallOf(request));
             }
-            Wire.Message response = client.read();
+            TestPeer.Message response = client.read();
             if (response.status() == 503) {
                 assertRejected(response);
             } else {
@@ -230,7 +230,7 @@
     }
 
     private static boolean isCallOf(Call call, String request) {
-        return request.contains(ServerAnswers.idOf(call));
+        return request.contains(ServerResponses.idOf(call));
     }
 
     /**
@@ -243,7 +243,7 @@
         Set<ScriptedServer> reached = new HashSet<>();
         List<InFlight> open = new ArrayList<>();
         while (reached.size() < servers.count()) {
-            Wire client = sendRequest(target);
+            TestPeer client = sendRequest(target);
             Call call = nextCall();
             reached.add(call.server());
             open.add(new InFlight(client, call));
@@ -251,7 +251,7 @@
         for (InFlight request : open) {
             Expectations.assertServed(request.call(), request.client(), "");
         }
-        pass(REUSABLE_AFTER_MS);
+        waitOnLoop(REUSABLE_AFTER_MS);
     }
 
     /** The next request received by any server. */
@@ -265,8 +265,8 @@
     }
 
     /** Waits until a timer of the loop with this delay has expired. */
-    void pass(double ms) throws InterruptedException {
-        OnLoop.pass(loop, ms);
+    void waitOnLoop(double ms) throws InterruptedException {
+        OnLoop.waitMs(loop, ms);
     }
 
     /** Runs the event and then blocks the loop for this time, so that a timer that expires races with the event. */
@@ -286,7 +286,7 @@
     }
 
     /** No request is open or counted at a server, and servers received none that the test has not taken. */
-    void assertQuiet() throws Exception {
+    void assertNoOpenRequests() throws Exception {
         awaitNoOpenRequest();
         OnLoop.run(loop, () -> metadata.allServers().forEach(ForwarderFixture::assertIdle));
         assertNull(servers.calls.peek(), "a server received an unexpected request");
@@ -300,7 +300,7 @@
     @Override
     public void close() throws IOException {
         loop.stop();
-        for (Wire client : clients) {
+        for (TestPeer client : clients) {
             client.close();
         }
         servers.close();
--- a/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/GenerationTest.java
@@ -10,12 +10,12 @@
 import static dewplank.dataplane.ClientRequests.PROMPT;
 import static dewplank.dataplane.ClientRequests.SHORT_PROMPT;
 import static dewplank.dataplane.ClientRequests.prompt;
-import static dewplank.dataplane.ServerAnswers.SEAL;
-import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.event;
-import static dewplank.dataplane.ServerAnswers.handOver;
-import static dewplank.dataplane.ServerAnswers.idOf;
-import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerResponses.SEAL;
+import static dewplank.dataplane.ServerResponses.event;
+import static dewplank.dataplane.ServerResponses.idOf;
+import static dewplank.dataplane.ServerResponses.reject;
+import static dewplank.dataplane.ServerResponses.respond;
+import static dewplank.dataplane.ServerResponses.respondWithKvHandle;
 import static dewplank.dataplane.TestConfiguration.MODEL;
 import static dewplank.dataplane.TestRoute.streamingRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -29,7 +29,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -68,9 +68,9 @@
     }
 
     /** Sends a request, and lets the prefill server respond with the handle. */
-    private Wire sendPrefilled(String target, String handle) throws Exception {
-        Wire client = fixture.sendRequest(target, PROMPT);
-        handOver(fixture.nextCall(), handle);
+    private TestPeer sendPrefilled(String target, String handle) throws Exception {
+        TestPeer client = fixture.sendRequest(target, PROMPT);
+        respondWithKvHandle(fixture.nextCall(), handle);
         return client;
     }
 
@@ -99,8 +99,8 @@
     }
 
     /** The decode server sends one event and the end of the stream, and the client receives both. */
-    private static void assertStreamsToEnd(Call decode, Wire client) throws IOException {
-        BegunStream.begin(decode, client).assertEnds();
+    private static void assertStreamsToEnd(Call decode, TestPeer client) throws IOException {
+        StartedStream.start(decode, client).assertEnds();
     }
 
     // ---- prefill and decode --------------------------------------------------------------------------
@@ -109,7 +109,7 @@
     void aPromptIsPrefilledAtOneServerAndDecodedAtAnother() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         ScriptedServer decode = fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/x?y", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/x?y", PROMPT);
         Call prefillCall = fixture.nextCall();
         assertSame(prefill, prefillCall.server());
         assertIsPrefill(prefillCall);
@@ -118,7 +118,7 @@
         assertEquals(fixture.servers.id(prefill), targetInstance(prefillCall));
         long left = remainingTimeMs(prefillCall);
         assertTrue(left > 0 && left <= 8_000);
-        handOver(prefillCall, "3fa0");
+        respondWithKvHandle(prefillCall, "3fa0");
         Call decodeCall = fixture.nextCall();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, prefill.addressText() + "/3fa0");
@@ -130,7 +130,7 @@
         assertEquals("aa:30000,bb:20000,c0:30000", decodeCall.message().header("X-Dewplank-Prompt-Prefix"));
         assertNull(lastEventId(decodeCall));
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** Only the data plane sets these fields; a client's own are dropped. */
@@ -144,23 +144,23 @@
     void aClientsStageKvHandleAndInstanceAreNotForwarded(String fields) throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT + fields);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT + fields);
         Call prefillCall = fixture.nextCall();
         assertIsPrefill(prefillCall);
         assertEquals(1, prefillCall.message().count("X-Dewplank-Processing-Stage"));
         assertEquals(1, prefillCall.message().count("X-Dewplank-Target-Instance"));
         assertEquals(0, prefillCall.message().count("Kv-From"));
-        handOver(prefillCall, "own");
+        respondWithKvHandle(prefillCall, "own");
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/own");
         assertEquals(0, decodeCall.message().count("X-Dewplank-Processing-Stage"));
         assertEquals(1, decodeCall.message().count("Kv-From"));
         assertStreamsToEnd(decodeCall, client);
-        Wire direct = fixture.sendRequest("/gen/", fields);
+        TestPeer direct = fixture.sendRequest("/gen/", fields);
         Call alone = fixture.nextCall();
         assertIsDecode(alone, null);
         assertStreamsToEnd(alone, direct);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** Prefill does not count as running the request, so the client may retry. */
@@ -168,33 +168,33 @@
     void aRequestInPrefillAtTerminationIsRejected() throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call prefillCall = fixture.nextCall();
-        OnLoop.run(fixture.loop, fixture.forwarder::terminateAll);
+        OnLoop.run(fixture.loop, fixture.forwarder::respondToAll);
         assertEquals(503, client.read().status());
-        prefillCall.wire().awaitEnd();
-        fixture.assertQuiet();
+        prefillCall.peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void eachRequestIsDecodedFromItsOwnKvHandle() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire first = fixture.sendRequest("/gen/1", PROMPT);
+        TestPeer first = fixture.sendRequest("/gen/1", PROMPT);
         Call firstPrefill = fixture.nextCall();
-        Wire second = fixture.sendRequest("/gen/2", PROMPT);
+        TestPeer second = fixture.sendRequest("/gen/2", PROMPT);
         Call secondPrefill = fixture.nextCall();
-        handOver(secondPrefill, "h2");
+        respondWithKvHandle(secondPrefill, "h2");
         Call secondDecode = fixture.nextCall();
         assertEquals("/gen/2", secondDecode.message().target());
         assertIsDecode(secondDecode, prefill.addressText() + "/h2");
-        handOver(firstPrefill, "h1");
+        respondWithKvHandle(firstPrefill, "h1");
         Call firstDecode = fixture.nextCall();
         assertEquals("/gen/1", firstDecode.message().target());
         assertIsDecode(firstDecode, prefill.addressText() + "/h1");
         assertStreamsToEnd(firstDecode, first);
         assertStreamsToEnd(secondDecode, second);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A late response to an earlier prefill arrives before the response to this one. */
@@ -202,19 +202,19 @@
     void aKvHandleForAnotherAttemptIdIsDiscarded() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call prefillCall = fixture.nextCall();
         prefillCall
-                .wire()
-                .answer(
+                .peer()
+                .respond(
                         "200 OK",
                         "X-Dewplank-Request-Attempt-Id: another\r\n",
                         "{\"context_handle\":\"wrong\",\"token_count\":60,\"config_version\":1}");
-        handOver(prefillCall, "own");
+        respondWithKvHandle(prefillCall, "own");
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/own");
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- no prefill -----------------------------------------------------------------------------------
@@ -222,34 +222,34 @@
     @Test
     void withoutAPrefillServerTheDecodeServerPrefills() throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void withoutAPromptPrefillIsSkipped() throws Exception {
         fixture.servers.prefill();
         ScriptedServer decode = fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/");
+        TestPeer client = fixture.sendRequest("/gen/");
         Call decodeCall = fixture.nextCall();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anUnreachablePrefillServerDoesNotCountAsAnAttempt() throws Exception {
         fixture.servers.refusingPrefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/one/", PROMPT);
+        TestPeer client = fixture.sendRequest("/one/", PROMPT);
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A prefill that is reset does not count as running the request, so the request can still be rejected with 503. */
@@ -257,13 +257,13 @@
     void aResetPrefillDoesNotCountAsARun() throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
-        fixture.nextCall().wire().reset();
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
+        fixture.nextCall().peer().reset();
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         reject(decodeCall);
         assertEquals(503, client.read().status(), "the request has not run");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -282,32 +282,32 @@
     void aResponseWithoutAKvHandleLeadsToDecodeWithoutOne(String body) throws Exception {
         fixture.servers.decode();
         fixture.servers.prefill();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call prefillCall = fixture.nextCall();
         assertIsPrefill(prefillCall);
-        answer(prefillCall, "200 OK", "", body);
+        respond(prefillCall, "200 OK", "", body);
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRejectedPrefillIsRetriedAtAnotherServer() throws Exception {
         fixture.servers.prefillServers(2);
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call full = fixture.nextCall();
         assertIsPrefill(full);
         reject(full);
         Call retry = fixture.nextCall();
         assertIsPrefill(retry);
         assertNotSame(full.server(), retry.server());
-        handOver(retry, "h");
+        respondWithKvHandle(retry, "h");
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, retry.server().addressText() + "/h");
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /**
@@ -318,17 +318,17 @@
     void aRejectedPrefillCountsAsAnAttempt() throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/one/", PROMPT);
+        TestPeer client = fixture.sendRequest("/one/", PROMPT);
         reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anOverduePrefillIsCancelledAndDecodeStarts() throws Exception {
         fixture.servers.prefill();
         ScriptedServer decode = fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", SHORT_PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", SHORT_PROMPT);
         Call prefillCall = fixture.nextCall();
         for (int sends = 1; prefillCall.server() == decode; sends++) { // the connection was not established in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
@@ -338,11 +338,11 @@
         }
         assertIsPrefill(prefillCall);
         Call decodeCall = fixture.nextCall();
-        prefillCall.wire().awaitEnd();
+        prefillCall.peer().awaitClose();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /**
@@ -355,15 +355,15 @@
         fixture.servers.prefill();
         ScriptedServer decode = fixture.servers.decode();
         double sentAt = fixture.now();
-        Wire client = fixture.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
+        TestPeer client = fixture.sendRequest("/paced/", prompt("aa:2000,c0:2000"));
         Call prefillCall = fixture.nextCall();
         Call decodeCall = fixture.nextCall();
         assertTrue(fixture.now() - sentAt >= 1_500, "decode started as soon as the prefill was overdue");
-        prefillCall.wire().awaitEnd();
+        prefillCall.peer().awaitClose();
         assertSame(decode, decodeCall.server());
         assertIsDecode(decodeCall, null);
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -371,17 +371,17 @@
         ScriptedServer one = fixture.servers.prefill();
         ScriptedServer two = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gapped/", MEDIUM_PROMPT);
+        TestPeer client = fixture.sendRequest("/gapped/", MEDIUM_PROMPT);
         Call first = fixture.nextCall();
         Call second = fixture.nextCall();
-        first.wire().awaitEnd();
+        first.peer().awaitClose();
         assertIsPrefill(second);
         assertSame(first.server() == one ? two : one, second.server());
-        handOver(second, "h2");
+        respondWithKvHandle(second, "h2");
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, second.server().addressText() + "/h2");
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- KV handles -----------------------------------------------------------------------------------
@@ -389,24 +389,24 @@
     @Test
     void aKvHandleIsFreedWithoutADecodeServer() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
-        Wire client = sendPrefilled("/gen/", "h1");
+        TestPeer client = sendPrefilled("/gen/", "h1");
         Call freed = fixture.nextCall();
         assertIsFreed(freed, prefill, "h1");
-        freed.wire().answer("200 OK", "", "");
-        Wire.Message response = client.read();
+        freed.peer().respond("200 OK", "", "");
+        TestPeer.Message response = client.read();
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aKvHandleIsFreedIfTheDecodeServerIsUnreachable() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.refusingDecode();
-        Wire client = sendPrefilled("/gen/", "h1");
+        TestPeer client = sendPrefilled("/gen/", "h1");
         assertIsFreed(fixture.nextCall(), prefill, "h1");
         assertEquals(503, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -415,12 +415,12 @@
         fixture.servers.refusingDecode();
         ScriptedServer there = fixture.servers.decode();
         fixture.servers.refusingDecode();
-        Wire client = sendPrefilled("/one/", "h1");
+        TestPeer client = sendPrefilled("/one/", "h1");
         Call decodeCall = fixture.nextCall();
         assertSame(there, decodeCall.server());
         assertIsDecode(decodeCall, prefill.addressText() + "/h1");
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A KV cache can be fetched only once, and the server that rejected the request may have fetched it. */
@@ -428,7 +428,7 @@
     void aKvHandleIsSentToOneDecodeServerOnly() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decodeServers(2);
-        Wire client = sendPrefilled("/gen/", "h1");
+        TestPeer client = sendPrefilled("/gen/", "h1");
         Call first = fixture.nextCall();
         assertIsDecode(first, prefill.addressText() + "/h1");
         reject(first);
@@ -442,9 +442,9 @@
     void aResumedStreamDoesNotSendItsKvHandleAgain() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decodeServers(2);
-        Wire client = sendPrefilled("/res/", "h1");
+        TestPeer client = sendPrefilled("/res/", "h1");
         Call first = fixture.nextCall();
-        first.wire().reset();
+        first.peer().reset();
         Call second = nextDecodeCall();
         assertNotEquals(prefill.addressText() + "/h1", kvFrom(second));
         assertStreamsToEnd(second, client);
@@ -455,9 +455,9 @@
         Call call = fixture.nextCall();
         while (call.message().method().equals("DELETE") || "prefill".equals(stage(call))) {
             if (call.message().method().equals("DELETE")) {
-                call.wire().answer("200 OK", "", "");
+                call.peer().respond("200 OK", "", "");
             } else {
-                handOver(call, "again");
+                respondWithKvHandle(call, "again");
             }
             call = fixture.nextCall();
         }
@@ -469,7 +469,7 @@
     void aKvHandleIsFreedIfItsDecodeServerRejectsTheRequest() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = sendPrefilled("/one/", "h1");
+        TestPeer client = sendPrefilled("/one/", "h1");
         reject(fixture.nextCall());
         assertEquals(503, client.read().status());
         assertIsFreed(fixture.nextCall(), prefill, "h1");
@@ -479,11 +479,11 @@
     void aClientThatDisconnectsDuringPrefillCancelsIt() throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call prefillCall = fixture.nextCall();
         client.close();
-        prefillCall.wire().awaitEnd();
-        fixture.assertQuiet();
+        prefillCall.peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     /** The KV handle arrives after the client has disconnected, on a connection that is closed by then. */
@@ -491,22 +491,22 @@
     void aKvHandleThatArrivesAfterItsClientDisconnectedIsNotDecoded() throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call prefillCall = fixture.nextCall();
         OnLoop.run(fixture.loop, () -> {
             client.close();
-            handOver(prefillCall, "h1");
+            respondWithKvHandle(prefillCall, "h1");
         });
         fixture.awaitNoOpenRequest();
         OnLoop.run(fixture.loop, () -> {});
         while (!fixture.servers.calls.isEmpty()) { // the handle was read before the disconnect
             assertNotEquals("POST", respondToFree(fixture.nextCall()), "decode was started for a disconnected client");
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     private static String respondToFree(Call call) throws IOException {
-        call.wire().answer("200 OK", "", "");
+        call.peer().respond("200 OK", "", "");
         return call.message().method();
     }
 
@@ -514,10 +514,10 @@
     void aClientThatDisconnectsBeforeItsStreamCancelsDecode() throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = sendPrefilled("/gen/", "h1");
+        TestPeer client = sendPrefilled("/gen/", "h1");
         Call decodeCall = fixture.nextCall();
         client.close();
-        decodeCall.wire().awaitEnd();
+        decodeCall.peer().awaitClose();
         fixture.awaitNoOpenRequest();
     }
 
@@ -525,8 +525,9 @@
     @Test
     void anUnsentKvHandleIsFreedWhenTheClientDisconnects() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
-        ScriptedServer late = fixture.servers.add(ScriptedServer.late(fixture.servers.calls), MODEL, "decode");
-        Wire client = sendPrefilled("/gen/", "h1");
+        ScriptedServer late =
+                fixture.servers.add(ScriptedServer.withDelayedAccept(fixture.servers.calls), MODEL, "decode");
+        TestPeer client = sendPrefilled("/gen/", "h1");
         OnLoop.await(fixture.loop, () -> fixture.metadata.servers(MODEL).stream()
                 .anyMatch(server -> server.instanceId().equals(fixture.servers.id(late)) && server.inFlight() == 1));
         client.close();
@@ -536,10 +537,12 @@
     @Test
     void anUnsentKvHandleIsFreedAtTheDeadline() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
-        fixture.servers.add(ScriptedServer.late(fixture.servers.calls), MODEL, "decode");
+        fixture.servers.add(ScriptedServer.withDelayedAccept(fixture.servers.calls), MODEL, "decode");
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS && freedHandles() == 0; sends++) {
-            Wire client = fixture.sendRequest("/brief/", PROMPT); // its 200 ms expire before the connection is set up
-            handOver(fixture.nextCall(), "h1"); // on a busy machine after the deadline; the request is then sent again
+            TestPeer client =
+                    fixture.sendRequest("/brief/", PROMPT); // its 200 ms expire before the connection is set up
+            respondWithKvHandle(
+                    fixture.nextCall(), "h1"); // on a busy machine after the deadline; the request is then sent again
             assertEquals(503, client.read().status(), "the request cannot have run");
         }
         assertIsFreed(fixture.nextCall(), prefill, "h1");
@@ -554,26 +557,26 @@
     @Test
     void aRejectedDecodeIsRetriedWithinMaxAttempts() throws Exception {
         fixture.servers.decodeServers(3);
-        Wire client = fixture.sendRequest("/two/", PROMPT);
+        TestPeer client = fixture.sendRequest("/two/", PROMPT);
         Call first = fixture.nextCall();
         reject(first);
         Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         reject(second);
-        Wire.Message response = client.read();
+        TestPeer.Message response = client.read();
         assertEquals(503, response.status());
         assertTrue(Double.parseDouble(response.header("Retry-After")) > 0);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void withoutARetryBudgetARejectedDecodeIsNotRetried() throws Exception {
         limitRetries(ForwarderFixture.NO_RETRIES);
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A rejected prefill counts as an attempt, so the decode is the only attempt after the first. */
@@ -582,10 +585,10 @@
         limitRetries(ONE_RETRY);
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         reject(fixture.nextCall());
         assertStreamsToEnd(fixture.nextCall(), client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** Only an attempt that a server accepts is exempt from the retry budget. */
@@ -594,11 +597,11 @@
         limitRetries(ONE_RETRY);
         fixture.servers.prefill();
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
-        fixture.nextCall().wire().reset();
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
+        fixture.nextCall().peer().reset();
         reject(fixture.nextCall());
         assertEquals(503, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -606,66 +609,66 @@
         limitRetries(ForwarderFixture.NO_RETRIES);
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = sendPrefilled("/gen/", "h1");
+        TestPeer client = sendPrefilled("/gen/", "h1");
         Call decodeCall = fixture.nextCall();
         assertIsDecode(decodeCall, prefill.addressText() + "/h1");
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aMisdirectedDecodeIsRetriedAtAnotherServer() throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call first = fixture.nextCall();
-        answer(first, "421 Misdirected Request", "", "");
+        respond(first, "421 Misdirected Request", "", "");
         Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertStreamsToEnd(second, client);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aDecodeThatIsResetBeforeItsStreamIsNotRetried() throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
-        fixture.nextCall().wire().reset();
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
+        fixture.nextCall().peer().reset();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"500 Internal Server Error", "504 Gateway Timeout", "400 Bad Request"})
     void aFinalFailureIsRelayed(String status) throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
-        answer(fixture.nextCall(), status, SEAL, "its own");
-        Wire.Message response = client.read();
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
+        respond(fixture.nextCall(), status, SEAL, "its own");
+        TestPeer.Message response = client.read();
         assertEquals(status.substring(0, 3), Integer.toString(response.status()));
         assertEquals("its own", response.body());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"503 Service Unavailable", "429 Too Many Requests"})
     void a503Or429WithoutTheNotExecutedMarkIsNotRelayed(String status) throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
-        answer(fixture.nextCall(), status, "", "");
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
+        respond(fixture.nextCall(), status, "", "");
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamWithoutASealIsAFailure() throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call decodeCall = fixture.nextCall();
-        decodeCall.wire().send("HTTP/1.1 200 OK\r\n" + idOf(decodeCall) + "Transfer-Encoding: chunked\r\n\r\n");
-        decodeCall.wire().chunk(event(1));
-        decodeCall.wire().lastChunk();
+        decodeCall.peer().send("HTTP/1.1 200 OK\r\n" + idOf(decodeCall) + "Transfer-Encoding: chunked\r\n\r\n");
+        decodeCall.peer().chunk(event(1));
+        decodeCall.peer().lastChunk();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- deadline before the stream -------------------------------------------------------------------
@@ -675,8 +678,8 @@
         fixture.servers.decode();
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", PROMPT);
         assertEquals(504, request.client().read().status());
-        request.call().wire().awaitEnd();
-        fixture.assertQuiet();
+        request.call().peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -686,22 +689,22 @@
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", PROMPT);
         assertIsPrefill(request.call());
         assertEquals(503, request.client().read().status(), "the request has not run");
-        request.call().wire().awaitEnd();
-        fixture.assertQuiet();
+        request.call().peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aDrainingServerGetsNoNewRequest() throws Exception {
         ScriptedServer draining = fixture.servers.decode();
         fixture.servers.drain(draining);
-        Wire rejected = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer rejected = fixture.sendRequest("/gen/", PROMPT);
         assertEquals(503, rejected.read().status());
         ScriptedServer ready = fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call decodeCall = fixture.nextCall();
         assertSame(ready, decodeCall.server());
         assertStreamsToEnd(decodeCall, client);
-        fixture.assertQuiet();
-        assertFalse(draining.connectionsWaiting() > 0);
+        fixture.assertNoOpenRequests();
+        assertFalse(draining.pendingConnections() > 0);
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ObservedTransport.java
@@ -79,8 +79,8 @@
     }
 
     private static boolean isSettled(ObservedLink link, FakeControlPlane.Session session) {
-        if (link.isClosed() || session.isEnded()) {
-            return link.isClosed() && session.isEnded();
+        if (link.isClosed() || session.isClosed()) {
+            return link.isClosed() && session.isClosed();
         }
         return session.receivedCount() == link.sentCount && link.receivedCount == session.sentCount();
     }
