--- a/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/PlainRouteTest.java
@@ -10,12 +10,12 @@
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertRejected;
 import static dewplank.dataplane.Expectations.assertServed;
-import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
-import static dewplank.dataplane.ServerAnswers.SEAL;
-import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.reject;
-import static dewplank.dataplane.ServerAnswers.sealedHead;
-import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.ServerResponses.NOT_EXECUTED;
+import static dewplank.dataplane.ServerResponses.SEAL;
+import static dewplank.dataplane.ServerResponses.reject;
+import static dewplank.dataplane.ServerResponses.respond;
+import static dewplank.dataplane.ServerResponses.sealedHead;
+import static dewplank.dataplane.ServerResponses.serve;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
 import static dewplank.dataplane.TestRoute.safeRoute;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
@@ -31,7 +31,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.membership.Member;
 import java.io.IOException;
 import java.util.List;
@@ -80,7 +80,7 @@
     @Test
     void aRequestAndItsResponseAreForwardedUnchanged() throws Exception {
         ScriptedServer server = fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send("PUT /safe/a%20b?c=d&e HTTP/1.1\r\nHost: H.example:80\r\nX-Dewplank-Request-Attempt-Id: q1\r\n"
                 + "X-Dewplank-Remaining-Time-Ms: 5000\r\nX-Own: 1\r\nConnection: X-Hop\r\nX-Hop: 2\r\n"
                 + "X-Dewplank-Target-Instance: i-77\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -97,15 +97,15 @@
         assertEquals(1, call.message().count("X-Dewplank-Remaining-Time-Ms"));
         long left = remainingTimeMs(call);
         assertTrue(left > 0 && left <= 5_000, "left " + left);
-        answer(call, "201 Created", SEAL + "X-Server: 3\r\nKeep-Alive: timeout=5\r\n", "made");
-        Wire.Message response = client.read();
+        respond(call, "201 Created", SEAL + "X-Server: 3\r\nKeep-Alive: timeout=5\r\n", "made");
+        TestPeer.Message response = client.read();
         assertEquals(201, response.status());
         assertEquals("made", response.body());
         assertEquals("s.1", response.header("X-Dewplank-Server-Seal"));
         assertEquals("q1", response.header("X-Dewplank-Request-Attempt-Id"));
         assertEquals("3", response.header("X-Server"));
         assertNull(response.header("Keep-Alive"));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -119,7 +119,7 @@
         assertTrue(
                 left > TestRoute.DEFAULT_TIMEOUT_MS - RESPONSE_MARGIN_MS - 1 - elapsedMs,
                 left + " left after " + elapsedMs);
-        Wire noTime = fixture.client();
+        TestPeer noTime = fixture.client();
         noTime.send("GET /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Remaining-Time-Ms: soon\r\n\r\n");
         left = remainingTimeMs(fixture.nextCall());
         assertTrue(left > 150 && left <= TestRoute.DEFAULT_TIMEOUT_MS, "left " + left);
@@ -136,25 +136,25 @@
             })
     void aFinalFailureIsRelayed(String status) throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
-        answer(fixture.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
-        Wire.Message response = client.read();
+        TestPeer client = fixture.sendRequest("/once/");
+        respond(fixture.nextCall(), status, SEAL + "X-Why: x\r\n", "its own");
+        TestPeer.Message response = client.read();
         assertEquals(status.substring(0, 3), Integer.toString(response.status()));
         assertEquals("its own", response.body());
         assertEquals("x", response.header("X-Why"));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void theLastAttemptsFailureIsRelayed() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/two/");
-        answer(fixture.nextCall(), "500 Internal Server Error", SEAL, "first");
-        answer(fixture.nextCall(), "500 Internal Server Error", SEAL, "second");
-        Wire.Message response = client.read();
+        TestPeer client = fixture.sendRequest("/two/");
+        respond(fixture.nextCall(), "500 Internal Server Error", SEAL, "first");
+        respond(fixture.nextCall(), "500 Internal Server Error", SEAL, "second");
+        TestPeer.Message response = client.read();
         assertEquals(500, response.status());
         assertEquals("second", response.body());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -162,17 +162,17 @@
     void withoutARouteForItsPathARequestReceives404(String target) throws Exception {
         fixture.servers.plain();
         assertEquals(404, fixture.sendRequest(target).read().status(), target);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void withoutARouteForItsHostARequestReceives404() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send("GET /safe/ HTTP/1.1\r\nHost: other.example\r\n\r\nGET /safe/ HTTP/1.1\r\n\r\n");
         assertEquals(404, client.read().status());
         assertEquals(404, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -185,10 +185,10 @@
             assertRejected(empty.sendRequest("/safe/").read());
             assertEquals(404, empty.sendRequest("/none/").read().status());
             empty.servers.plain();
-            Wire client = empty.sendRequest("/safe/");
+            TestPeer client = empty.sendRequest("/safe/");
             serve(empty.nextCall(), "");
             assertEquals(200, client.read().status());
-            empty.assertQuiet();
+            empty.assertNoOpenRequests();
         }
     }
 
@@ -198,66 +198,66 @@
     @ValueSource(strings = {"", SEAL + "Content-Encoding: gzip\r\n", SEAL + "Content-Encoding: identity\r\n"})
     void aSuccessWithoutASealOrWithAContentEncodingIsAFailure(String fields) throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/safe/");
-        answer(fixture.nextCall(), "200 OK", fields, "not the server's");
+        TestPeer client = fixture.sendRequest("/safe/");
+        respond(fixture.nextCall(), "200 OK", fields, "not the server's");
         assertServed(fixture.nextCall(), client, "own");
-        Wire unsafe = fixture.sendRequest("/once/");
-        answer(fixture.nextCall(), "200 OK", fields, "not the server's");
+        TestPeer unsafe = fixture.sendRequest("/once/");
+        respond(fixture.nextCall(), "200 OK", fields, "not the server's");
         assertEquals(502, unsafe.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aTruncatedSuccessIsAFailure() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
-        call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "12345678");
-        call.wire().close();
+        call.peer().send(sealedHead(call, "Content-Length: 9\r\n") + "12345678");
+        call.peer().close();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aResponseToAnotherAttemptIdIsDiscarded() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
-        call.wire().answer("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "to another attempt");
-        call.wire().answer("503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: another\r\n" + NOT_EXECUTED, "");
+        call.peer().respond("200 OK", "X-Dewplank-Request-Attempt-Id: another\r\n" + SEAL, "to another attempt");
+        call.peer().respond("503 Service Unavailable", "X-Dewplank-Request-Attempt-Id: another\r\n" + NOT_EXECUTED, "");
         assertServed(call, client, "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A second response arrives on the idle connection, so the next request uses another connection. */
     @Test
     void aSecondResponseOnAnIdleConnectionClosesIt() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call idle = fixture.nextCall();
         assertServed(idle, client, "first");
         serve(idle, "a second response");
-        idle.wire().awaitEnd();
+        idle.peer().awaitClose();
         client.send(request("/once/", "", ""));
         Call next = fixture.nextCall();
-        assertNotSame(idle.wire(), next.wire());
+        assertNotSame(idle.peer(), next.peer());
         assertServed(next, client, "second");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anIdleConnectionIsReusedAfterTheReuseDelay() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call idle = fixture.nextCall();
         serve(idle, "first");
         client.read();
-        fixture.pass(30);
+        fixture.waitOnLoop(30);
         client.send(request("/once/", "", ""));
         Call next = fixture.nextCall();
-        assertSame(idle.wire(), next.wire());
+        assertSame(idle.peer(), next.peer());
         assertServed(next, client, "second");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- retries -------------------------------------------------------------------------------------
@@ -271,10 +271,10 @@
 
         void inject(Call attempt) throws IOException {
             switch (this) {
-                case RESET -> attempt.wire().reset();
-                case SERVER_FAILURE -> answer(attempt, "500 Internal Server Error", SEAL, "broken");
+                case RESET -> attempt.peer().reset();
+                case SERVER_FAILURE -> respond(attempt, "500 Internal Server Error", SEAL, "broken");
                 case REJECTED -> reject(attempt);
-                case MISDIRECTED -> answer(attempt, "421 Misdirected Request", "", "");
+                case MISDIRECTED -> respond(attempt, "421 Misdirected Request", "", "");
                 default -> throw new AssertionError(this);
             }
         }
@@ -292,7 +292,7 @@
     })
     void aRequestIsRetriedAtAnotherServer(String target, AttemptFault fault) throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest(target);
+        TestPeer client = fixture.sendRequest(target);
         Call first = fixture.nextCall();
         fault.inject(first);
         Call second = fixture.nextCall();
@@ -300,38 +300,38 @@
         assertEquals(attemptId(first), attemptId(second));
         assertEquals(fixture.servers.id(second.server()), targetInstance(second));
         assertServed(second, client, "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aSafeRequestIsRetriedWhenItsAnswerIsOverdue() throws Exception {
         fixture.servers.plainServers(2);
         fixture.openIdleConnections("/once/");
-        Wire client = fixture.sendRequest("/quick/");
+        TestPeer client = fixture.sendRequest("/quick/");
         Call first = fixture.nextCall();
         Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
-        first.wire().awaitEnd();
+        first.peer().awaitClose();
         assertServed(second, client, "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterAReset() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
-        fixture.nextCall().wire().reset();
+        TestPeer client = fixture.sendRequest("/once/");
+        fixture.nextCall().peer().reset();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterAMalformedResponse() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
-        fixture.nextCall().wire().send("malformed response\r\n");
+        TestPeer client = fixture.sendRequest("/once/");
+        fixture.nextCall().peer().send("malformed response\r\n");
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
@@ -339,16 +339,16 @@
             strings = {"503 Service Unavailable", "429 Too Many Requests", "502 Bad Gateway", "408 Request Timeout"})
     void anUnsafeRequestIsNotRetriedAfterAFailureWithoutTheNotExecutedMark(String status) throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
-        answer(fixture.nextCall(), status, "", "");
+        TestPeer client = fixture.sendRequest("/once/");
+        respond(fixture.nextCall(), status, "", "");
         assertEquals(502, client.read().status(), status);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anUnsafeRequestThatEveryServerRejectsIsRejected() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         reject(fixture.nextCall());
         reject(fixture.nextCall());
         OnLoop.await(fixture.loop, () -> client.hasBytes() || !fixture.servers.calls.isEmpty());
@@ -356,17 +356,17 @@
             reject(fixture.nextCall());
         }
         assertRejected(client.read());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeverRejected() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         reject(fixture.nextCall());
-        fixture.nextCall().wire().reset();
+        fixture.nextCall().peer().reset();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -374,12 +374,12 @@
         fixture.servers.refusingPlain();
         ScriptedServer there = fixture.servers.plain();
         for (int request = 0; request < 6; request++) {
-            Wire client = fixture.sendRequest("/once/");
+            TestPeer client = fixture.sendRequest("/once/");
             Call call = fixture.nextCall();
             assertSame(there, call.server());
             assertServed(call, client, "served");
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -388,26 +388,26 @@
         fixture.servers.refusingPlain();
         assertRejected(fixture.sendRequest("/once/").read());
         assertRejected(fixture.sendRequest("/safe/").read());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void attemptsAreBoundedByTheRoutesMaxAttempts() throws Exception {
         fixture.servers.plainServers(3);
-        Wire client = fixture.sendRequest("/two/");
-        fixture.nextCall().wire().reset();
-        fixture.nextCall().wire().reset();
+        TestPeer client = fixture.sendRequest("/two/");
+        fixture.nextCall().peer().reset();
+        fixture.nextCall().peer().reset();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
-        Wire rejected = fixture.sendRequest("/two/");
+        fixture.assertNoOpenRequests();
+        TestPeer rejected = fixture.sendRequest("/two/");
         reject(fixture.nextCall());
         reject(fixture.nextCall());
         assertRejected(rejected.read());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
-    private static Wire sendLongRequest(ForwarderFixture fixture, String target) throws IOException {
-        Wire client = fixture.client();
+    private static TestPeer sendLongRequest(ForwarderFixture fixture, String target) throws IOException {
+        TestPeer client = fixture.client();
         client.send(request(target, "", "x".repeat(LONG_BODY_BYTES)));
         return client;
     }
@@ -418,10 +418,10 @@
         Thread breaker = new Thread(() -> {
             try {
                 while (true) {
-                    Wire wire = raw.nextConnection();
-                    wire.readHead();
+                    TestPeer peer = raw.nextConnection();
+                    peer.readHead();
                     broken.incrementAndGet();
-                    wire.reset();
+                    peer.reset();
                 }
             } catch (IOException | InterruptedException | AssertionError e) {
                 // the test is over
@@ -438,24 +438,24 @@
      */
     @Test
     void anUnsafeRequestThatIsResetWithinItsBodyIsNotRetried() throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             fixture.servers.add(raw, PLAIN, null);
             fixture.routes(2 * LONG_BODY_BYTES, unsafeRoute("once", 3));
             AtomicInteger broken = resetConnectionsWithinBodies(raw);
             assertEquals(502, sendLongRequest(fixture, "/once/").read().status());
-            fixture.assertQuiet();
+            fixture.assertNoOpenRequests();
             assertEquals(1, broken.get());
         }
     }
 
     @Test
     void aSafeRequestThatIsResetWithinItsBodyIsRetriedWithinMaxAttempts() throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             fixture.servers.add(raw, PLAIN, null);
             fixture.routes(2 * LONG_BODY_BYTES, safeRoute("safe", 3));
             AtomicInteger broken = resetConnectionsWithinBodies(raw);
             assertEquals(502, sendLongRequest(fixture, "/safe/").read().status());
-            fixture.assertQuiet();
+            fixture.assertNoOpenRequests();
             assertTrue(broken.get() >= 1 && broken.get() <= 3, broken + " connections");
         }
     }
@@ -469,13 +469,13 @@
                 .routes(safeRoute("safe", 3), unsafeRoute("once", 3))
                 .start()) {
             withoutRetries.servers.plainServers(2);
-            Wire broken = withoutRetries.sendRequest("/safe/");
-            withoutRetries.nextCall().wire().reset();
+            TestPeer broken = withoutRetries.sendRequest("/safe/");
+            withoutRetries.nextCall().peer().reset();
             assertEquals(502, broken.read().status());
-            Wire rejected = withoutRetries.sendRequest("/once/");
+            TestPeer rejected = withoutRetries.sendRequest("/once/");
             reject(withoutRetries.nextCall());
             assertRejected(rejected.read());
-            withoutRetries.assertQuiet();
+            withoutRetries.assertNoOpenRequests();
         }
     }
 
@@ -487,14 +487,14 @@
                 .routes(safeRoute("quick", 3).withTargetLatency(20))
                 .start()) {
             withoutRetries.servers.plainServers(2);
-            Wire client = withoutRetries.sendRequest("/quick/");
+            TestPeer client = withoutRetries.sendRequest("/quick/");
             Call call = withoutRetries.nextCall();
-            withoutRetries.pass(OVERDUE_TARGET_FACTOR * 20 + 30);
+            withoutRetries.waitOnLoop(OVERDUE_TARGET_FACTOR * 20 + 30);
             serve(call, "slow");
-            Wire.Message response = client.read();
+            TestPeer.Message response = client.read();
             assertEquals(200, response.status());
             assertEquals("slow", response.body());
-            withoutRetries.assertQuiet();
+            withoutRetries.assertNoOpenRequests();
         }
     }
 
@@ -510,8 +510,8 @@
             withFewRetries.servers.plainServers(3);
             int sends = 0;
             for (int request = 0; request < 6; request++) {
-                Wire client = withFewRetries.sendRequest("/safe/");
-                answer(withFewRetries.nextCall(), "500 Internal Server Error", SEAL, "");
+                TestPeer client = withFewRetries.sendRequest("/safe/");
+                respond(withFewRetries.nextCall(), "500 Internal Server Error", SEAL, "");
                 sends++;
                 OnLoop.await(
                         withFewRetries.loop,
@@ -523,7 +523,7 @@
                 assertNotNull(client.read());
             }
             assertTrue(sends > 6 && sends <= 6 + 0.5 * 6, "sends " + sends);
-            withFewRetries.assertQuiet();
+            withFewRetries.assertNoOpenRequests();
         }
     }
 
@@ -541,79 +541,79 @@
                     alone.metadata.updateMembers(members);
                     alone.forwarder.onFleetChanged();
                 });
-                Wire client = alone.sendRequest("/safe/");
-                answer(alone.nextCall(), "500 Internal Server Error", SEAL, "");
+                TestPeer client = alone.sendRequest("/safe/");
+                respond(alone.nextCall(), "500 Internal Server Error", SEAL, "");
                 assertEquals(502, client.read().status());
             }
-            alone.assertQuiet();
+            alone.assertNoOpenRequests();
         }
     }
 
     // ---- deadlines ------------------------------------------------------------------------------------
 
     private void awaitHalfRead() throws Exception {
-        OnLoop.await(
-                fixture.loop, () -> fixture.forwarder.connections().stream().anyMatch(InboundConnection::isHeadRead));
+        OnLoop.await(fixture.loop, () -> fixture.forwarder.connections().stream()
+                .anyMatch(InboundConnection::hasPartialRequestWithHead));
     }
 
     /** The client counts its timeout from the first byte that it sends, and servers receive the remaining time. */
     @Test
     void theDeadlineCountsFromTheFirstByte() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send(headOfTwoByteBody("/once/", 4_000));
         awaitHalfRead();
-        fixture.pass(300);
+        fixture.waitOnLoop(300);
         client.send("hi");
         Call call = fixture.nextCall();
         long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs <= 3_700, "remaining time " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRequestThatIsCompleteAfterItsDeadlineIsRejectedImmediately() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send(headOfTwoByteBody("/brief/", 9_000));
         awaitHalfRead();
-        fixture.pass(160);
+        fixture.waitOnLoop(160);
         client.send("hi");
         assertRejected(client.read());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"NaN", "soon", ""})
     void aMalformedRemainingTimeCountsAsAbsent(String remainingTime) throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send(request("/once/", "", remainingTime, "hi"));
         Call call = fixture.nextCall();
         long remainingMs = remainingTimeMs(call);
         assertTrue(remainingMs > 0 && remainingMs < 8_000, "remaining time " + remainingMs);
         serve(call, "");
         assertEquals(200, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The stated time never exceeds the remaining time, so it is shorter for the later attempt. */
     @Test
     void aRetryCarriesTheRemainingTimeOfItsOwnStart() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/safe/");
+        TestPeer client = fixture.sendRequest("/safe/");
         Call first = fixture.nextCall();
-        fixture.pass(200);
-        answer(first, "500 Internal Server Error", SEAL, "");
+        fixture.waitOnLoop(200);
+        respond(first, "500 Internal Server Error", SEAL, "");
         Call second = fixture.nextCall();
         long before = remainingTimeMs(first);
         long after = remainingTimeMs(second);
         assertTrue(before < 8_000 && after <= before - 200, before + ", then " + after);
         serve(second, "");
         assertEquals(200, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The request has reached a server and may run there, but a 503 would state that it never will. */
@@ -622,8 +622,8 @@
         fixture.servers.plain();
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", "");
         assertEquals(504, request.client().read().status());
-        request.call().wire().awaitEnd();
-        fixture.assertQuiet();
+        request.call().peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -631,16 +631,16 @@
         fixture.servers.plain();
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/briefly/", "");
         assertEquals(504, request.client().read().status());
-        request.call().wire().awaitEnd();
-        fixture.assertQuiet();
+        request.call().peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRequestThatIsUnsentAtItsDeadlineIsRejected() throws Exception {
-        try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
+        try (ScriptedServer late = ScriptedServer.withDelayedAccept(new LinkedBlockingQueue<>())) {
             fixture.servers.add(late, PLAIN, null);
             assertRejected(fixture.sendRequest("/brief/").read());
-            fixture.assertQuiet();
+            fixture.assertNoOpenRequests();
         }
     }
 
@@ -649,45 +649,45 @@
     @TestOnSafeAndUnsafeRoutes
     void aDisconnectedClientsAttemptIsCancelled(String target) throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest(target);
+        TestPeer client = fixture.sendRequest(target);
         Call call = fixture.nextCall();
         client.close();
-        call.wire().awaitEnd();
-        fixture.assertQuiet();
+        call.peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aClientThatDisconnectsWithinAResponseCancelsItsAttempt() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/safe/");
+        TestPeer client = fixture.sendRequest("/safe/");
         Call call = fixture.nextCall();
-        call.wire().send(sealedHead(call, "Content-Length: 9\r\n") + "1234");
+        call.peer().send(sealedHead(call, "Content-Length: 9\r\n") + "1234");
         client.close();
-        call.wire().awaitEnd();
-        fixture.assertQuiet();
+        call.peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     /** The client's disconnect and the server's reset arrive at the same time and are handled in either order. */
     @Test
     void aClientsDisconnectThatRacesWithAServersResetLeavesNothingOpen() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/safe/");
+        TestPeer client = fixture.sendRequest("/safe/");
         Call call = fixture.nextCall();
         OnLoop.run(fixture.loop, () -> {
             client.close();
-            call.wire().reset();
+            call.peer().reset();
         });
         fixture.awaitNoOpenRequest();
         while (!fixture.servers.calls.isEmpty()) {
-            fixture.nextCall().wire().awaitEnd();
+            fixture.nextCall().peer().awaitClose();
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void pipelinedRequestsAreServedInOrder() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send(request("/once/1", "", "") + request("/once/2", "", ""));
         Call first = fixture.nextCall();
         assertEquals("/once/1", first.message().target());
@@ -696,21 +696,21 @@
         Call second = fixture.nextCall();
         assertEquals("/once/2", second.message().target());
         assertServed(second, client, "2");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aBodyOverMaxBodyBytesReceives413() throws Exception {
         fixture.servers.plain();
         fixture.routes(10, unsafeRoute("once", 1));
-        Wire tooLong = fixture.client();
+        TestPeer tooLong = fixture.client();
         tooLong.send(request("/once/", "", "12345678901"));
         assertEquals(413, tooLong.read().status());
-        Wire fits = fixture.client();
+        TestPeer fits = fixture.client();
         fits.send(request("/once/", "", "1234567890"));
         serve(fixture.nextCall(), "");
         assertEquals(200, fits.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The limit of a later configuration applies to a connection that was opened under an earlier one. */
@@ -718,7 +718,7 @@
     void maxBodyBytesOfTheConfigurationInForceApplies() throws Exception {
         fixture.servers.plain();
         fixture.routes(10, unsafeRoute("once", 1));
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send(request("/once/", "", "1234567890"));
         serve(fixture.nextCall(), "");
         assertEquals(200, client.read().status());
@@ -728,54 +728,54 @@
         assertFalse(fixture.servers.calls.isEmpty(), "rejected by the limit of the old configuration");
         serve(fixture.nextCall(), "");
         assertEquals(200, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** GenerationTest tests the requests in which the data plane sets these fields. */
     @Test
     void aPlainRequestCarriesNoStageAndNoKvHandle() throws Exception {
         fixture.servers.plain();
-        Wire client =
+        TestPeer client =
                 fixture.sendRequest("/once/", "X-Dewplank-Processing-Stage: prefill\r\nKv-From: 10.0.0.1:80/h\r\n");
         Call call = fixture.nextCall();
         assertNull(stage(call));
         assertNull(kvFrom(call));
         serve(call, "");
         assertEquals(200, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A request that may have run fails with 502; a request that was not sent is rejected with 503. */
     @Test
     void openRequestsAreEndedAtTermination() throws Exception {
         try (ForwarderFixture unready = ForwarderFixture.builder().start()) {
-            Wire queued = unready.sendRequest("/once/");
+            TestPeer queued = unready.sendRequest("/once/");
             OnLoop.await(unready.loop, () -> unready.forwarder.openRequests() == 1);
-            OnLoop.run(unready.loop, unready.forwarder::terminateAll);
+            OnLoop.run(unready.loop, unready.forwarder::respondToAll);
             assertEquals(503, queued.read().status());
-            unready.assertQuiet();
+            unready.assertNoOpenRequests();
         }
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
-        OnLoop.run(fixture.loop, fixture.forwarder::terminateAll);
+        OnLoop.run(fixture.loop, fixture.forwarder::respondToAll);
         assertEquals(502, client.read().status());
-        call.wire().awaitEnd();
-        fixture.assertQuiet();
+        call.peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aDrainingForwarderClosesConnectionsAfterTheirResponses() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
         OnLoop.run(fixture.loop, fixture.forwarder::close);
         serve(call, "last");
-        Wire.Message response = client.read();
+        TestPeer.Message response = client.read();
         assertEquals("last", response.body());
         assertEquals("close", response.header("Connection"));
         assertNull(client.read());
         OnLoop.await(fixture.loop, () -> fixture.forwarder.openConnections() == 0);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/QuotaClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/QuotaClientTest.java
@@ -11,7 +11,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.message.QuotaReply;
 import dewplank.message.QuotaRequest;
-import dewplank.quota.QuotaTerms;
+import dewplank.quota.QuotaBounds;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -29,7 +29,7 @@
     /** Longer than the window in which requests are counted for a quota request, shorter than the reply timeout. */
     private static final double BEYOND_LOAD_WINDOW_MS = 130;
 
-    private static final double TOKEN_LIFETIME_MS = SessionFixture.QUOTA_TERMS.tokenLifetimeMs();
+    private static final double TOKEN_LIFETIME_MS = SessionFixture.QUOTA_BOUNDS.tokenLifetimeMs();
     /** Maximum number of waiting requests. */
     private static final int MAX_WAITING = 1_024;
 
@@ -201,7 +201,7 @@
     /** A token that was granted after its request arrived may be used even without any overshoot. */
     @Test
     void aTokenAdmitsAWaitingRequestEvenIfNoOvershootIsAllowed() throws Exception {
-        QuotaClient exact = fixture.replaceQuotaClient(new QuotaTerms(10_000, 0, 0));
+        QuotaClient exact = fixture.replaceQuotaClient(new QuotaBounds(10_000, 0, 0));
         OnLoop.run(fixture.loop, () -> exact.acquire(ACME, decisions::add));
         nextRequest().replyGranted(1);
         assertDecided(ADMITTED, 1);
@@ -316,7 +316,7 @@
         List<Session> others = new ArrayList<>(sessions);
         others.remove(request.session());
         others.get(0).reset();
-        others.get(0).awaitEnd();
+        others.get(0).awaitClose();
         assertUndecided();
         request.replyGranted(1);
         assertDecided(ADMITTED, 1);
--- a/dataplane/src/test/java/dewplank/dataplane/RequestAdmissionTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestAdmissionTest.java
@@ -4,7 +4,7 @@
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertRejected;
 import static dewplank.dataplane.Expectations.assertServed;
-import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerResponses.reject;
 import static dewplank.dataplane.TestRoute.safeRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,7 +12,7 @@
 
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.message.QuotaReply;
 import dewplank.message.QuotaRequest;
 import java.io.IOException;
@@ -58,10 +58,10 @@
     }
 
     /** A waiting request's client, and the quota request that the control plane received for it. */
-    private record WaitingRequest(Wire client, QuotaRequest quotaRequest) {}
+    private record WaitingRequest(TestPeer client, QuotaRequest quotaRequest) {}
 
     private WaitingRequest sendAndAwaitQuotaRequest() throws Exception {
-        Wire client = fixture.sendRequest("/safe/", KEY);
+        TestPeer client = fixture.sendRequest("/safe/", KEY);
         QuotaRequest quotaRequest = controlPlane.nextRequest();
         assertEquals(1, OnLoop.get(fixture.loop, fixture.forwarder::openRequests));
         return new WaitingRequest(client, quotaRequest);
@@ -71,14 +71,14 @@
         controlPlane.reply(QuotaReply.granted(waiting.quotaRequest().id, 1));
     }
 
-    private void assertServedByOneCall(Wire client) throws Exception {
+    private void assertServedByOneCall(TestPeer client) throws Exception {
         assertServed(fixture.nextCall(), client, "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
-    private Wire.Message responseWithoutCall(Wire client) throws Exception {
+    private TestPeer.Message responseWithoutCall(TestPeer client) throws Exception {
         OnLoop.await(fixture.loop, client::hasBytes);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         return client.read();
     }
 
@@ -111,7 +111,7 @@
 
     @Test
     void aRequestWithAnUnknownKeyUsesNoToken() throws Exception {
-        Wire client = fixture.sendRequest("/safe/", "Authorization: Bearer k-9\r\n");
+        TestPeer client = fixture.sendRequest("/safe/", "Authorization: Bearer k-9\r\n");
         assertEquals(401, responseWithoutCall(client).status());
         assertNoQuotaRequest();
     }
@@ -143,7 +143,7 @@
     void aRequestIsRejectedWith429AndRetryAfterIfTheQuotaIsExhausted() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
         controlPlane.reply(QuotaReply.exhausted(waiting.quotaRequest().id, 250));
-        Wire.Message response = responseWithoutCall(waiting.client());
+        TestPeer.Message response = responseWithoutCall(waiting.client());
         assertEquals(429, response.status());
         assertEquals("0.250", response.header("Retry-After"));
     }
@@ -153,7 +153,7 @@
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
         controlPlane.reply(QuotaReply.exhausted(waiting.quotaRequest().id, 250));
         assertEquals(429, responseWithoutCall(waiting.client()).status());
-        OnLoop.run(fixture.loop, () -> fixture.quotaTime.advance(fixture.quotaTime.now() + 250));
+        OnLoop.run(fixture.loop, () -> fixture.quotaClock.advance(fixture.quotaClock.now() + 250));
         waiting.client().send(request("/safe/", KEY, "hi"));
         controlPlane.reply(QuotaReply.granted(controlPlane.nextRequest().id, 1));
         assertServedByOneCall(waiting.client());
@@ -175,16 +175,16 @@
         waiting.client().close();
         fixture.awaitNoOpenRequest();
         grant(waiting);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aWaitingRequestIsRejectedWith503AtShutdownAndNotSentLater() throws Exception {
         WaitingRequest waiting = sendAndAwaitQuotaRequest();
-        OnLoop.run(fixture.loop, fixture.forwarder::terminateAll);
+        OnLoop.run(fixture.loop, fixture.forwarder::respondToAll);
         assertRejected(responseWithoutCall(waiting.client()));
         grant(waiting);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -211,7 +211,7 @@
         Call call = fixture.nextCall();
         assertEquals(BIRCH, tenantName(call));
         assertServed(call, waiting.client(), "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         assertNoQuotaRequest();
     }
 
@@ -224,7 +224,7 @@
         Call call = fixture.nextCall();
         assertEquals("i-2", fixture.servers.id(call.server()), "the server of the other service");
         assertServed(call, waiting.client(), "served");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         assertNoQuotaRequest();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/RequestRaceTest.java
@@ -5,12 +5,12 @@
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertRejected;
 import static dewplank.dataplane.Expectations.assertServed;
-import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
-import static dewplank.dataplane.ServerAnswers.SEAL;
-import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.idOf;
-import static dewplank.dataplane.ServerAnswers.sealedHead;
-import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.ServerResponses.NOT_EXECUTED;
+import static dewplank.dataplane.ServerResponses.SEAL;
+import static dewplank.dataplane.ServerResponses.idOf;
+import static dewplank.dataplane.ServerResponses.respond;
+import static dewplank.dataplane.ServerResponses.sealedHead;
+import static dewplank.dataplane.ServerResponses.serve;
 import static dewplank.dataplane.TestConfiguration.PLAIN;
 import static dewplank.dataplane.TestRoute.safeRoute;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
@@ -23,7 +23,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -65,28 +65,28 @@
     }
 
     /** A reusable idle connection to the server, with the client whose request it carried. */
-    private record IdleConnection(Wire client, Call first) {}
+    private record IdleConnection(TestPeer client, Call first) {}
 
     private IdleConnection idleConnection(String target) throws Exception {
-        Wire client = fixture.sendRequest(target);
+        TestPeer client = fixture.sendRequest(target);
         Call first = fixture.nextCall();
         assertServed(first, client, "first");
-        fixture.pass(REUSABLE_AFTER_MS);
+        fixture.waitOnLoop(REUSABLE_AFTER_MS);
         return new IdleConnection(client, first);
     }
 
     private Call sendOnIdleConnection(IdleConnection idle, String target) throws Exception {
         idle.client().send(request(target, "", "second"));
         Call second = fixture.nextCall();
-        assertSame(idle.first().wire(), second.wire());
+        assertSame(idle.first().peer(), second.peer());
         return second;
     }
 
-    private void assertNextRequestIsServed(Wire client, String target) throws Exception {
+    private void assertNextRequestIsServed(TestPeer client, String target) throws Exception {
         client.send(request(target, "", ""));
         Call call = fixture.nextCall();
         assertServed(call, client, "next");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- surplus responses ----------------------------------------------------------------------------
@@ -104,10 +104,10 @@
         fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
-        answer(idle.first(), status, SEAL, "to the first request");
-        answer(second, "200 OK", SEAL, "own");
+        respond(idle.first(), status, SEAL, "to the first request");
+        respond(second, "200 OK", SEAL, "own");
         assertEquals("own", idle.client().read().body(), target + status);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The rejection belongs to the first request. The second one may run, so it is neither rejected nor retried. */
@@ -116,10 +116,10 @@
         fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
-        answer(idle.first(), "503 Service Unavailable", NOT_EXECUTED, "");
-        answer(idle.first(), "421 Misdirected Request", "", "");
+        respond(idle.first(), "503 Service Unavailable", NOT_EXECUTED, "");
+        respond(idle.first(), "421 Misdirected Request", "", "");
         assertServed(second, idle.client(), "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /**
@@ -130,22 +130,22 @@
         fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
-        second.wire().answer("404 Not Found", "", "without an id");
-        second.wire().answer("200 OK", SEAL, "without an id");
-        second.wire().answer("503 Service Unavailable", NOT_EXECUTED, "");
+        second.peer().respond("404 Not Found", "", "without an id");
+        second.peer().respond("200 OK", SEAL, "without an id");
+        second.peer().respond("503 Service Unavailable", NOT_EXECUTED, "");
         assertServed(second, idle.client(), "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnSafeAndUnsafeRoutes
     void theFirstOfTwoResponsesInOneSegmentIsRelayedAndTheConnectionCloses(String target) throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.sendRequest(target);
+        TestPeer client = fixture.sendRequest(target);
         Call call = fixture.nextCall();
         String own = sealedHead(call, "Content-Length: 1\r\n");
-        call.wire().send(own + "1" + own + "2");
+        call.peer().send(own + "1" + own + "2");
         assertEquals("1", client.read().body());
-        call.wire().awaitEnd();
+        call.peer().awaitClose();
         assertNextRequestIsServed(client, target);
     }
 
@@ -155,15 +155,15 @@
         fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
         Call second = sendOnIdleConnection(idle, target);
-        second.wire().send("surplus\r\n");
+        second.peer().send("surplus\r\n");
         if (target.equals("/once/")) {
             assertEquals(502, idle.client().read().status());
         } else {
             Call third = fixture.nextCall();
-            assertNotSame(second.wire(), third.wire());
+            assertNotSame(second.peer(), third.peer());
             assertServed(third, idle.client(), "own");
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /**
@@ -173,21 +173,21 @@
     @Test
     void aRetryAtTheSameServerUsesADedicatedConnection() throws Exception {
         ScriptedServer server = fixture.servers.plain();
-        Wire other = fixture.sendRequest("/once/");
+        TestPeer other = fixture.sendRequest("/once/");
         Call earlier = fixture.nextCall();
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call first = fixture.nextCall();
         serve(earlier, ""); // its connection is now idle and reusable
         other.read();
-        fixture.pass(REUSABLE_AFTER_MS);
-        answer(first, "421 Misdirected Request", "", "");
+        fixture.waitOnLoop(REUSABLE_AFTER_MS);
+        respond(first, "421 Misdirected Request", "", "");
         Call retry = fixture.nextCall();
         assertSame(server, retry.server());
-        assertNotSame(first.wire(), retry.wire());
-        assertNotSame(earlier.wire(), retry.wire(), "the connection has carried another call");
-        answer(first, "421 Misdirected Request", "", "");
+        assertNotSame(first.peer(), retry.peer());
+        assertNotSame(earlier.peer(), retry.peer(), "the connection has carried another call");
+        respond(first, "421 Misdirected Request", "", "");
         assertServed(retry, client, "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- resets ---------------------------------------------------------------------------------------
@@ -196,15 +196,15 @@
     void aResetOfAnIdleConnectionDoesNotCountAsAnAttempt(String target) throws Exception {
         fixture.servers.plain();
         IdleConnection idle = idleConnection(target);
-        idle.first().wire().reset();
+        idle.first().peer().reset();
         OnLoop.await(
                 fixture.loop,
                 () -> fixture.metadata.allServers().iterator().next().pool.size() == 0);
         idle.client().send(request(target, "", ""));
         Call second = fixture.nextCall();
-        assertNotSame(idle.first().wire(), second.wire());
+        assertNotSame(idle.first().peer(), second.peer());
         assertServed(second, idle.client(), "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -212,9 +212,9 @@
         fixture.servers.plainServers(2);
         IdleConnection idle = idleConnection("/once/");
         idle.client().send(request("/once/", "", ""));
-        fixture.nextCall().wire().reset();
+        fixture.nextCall().peer().reset();
         assertEquals(502, idle.client().read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         assertNextRequestIsServed(idle.client(), "/once/");
     }
 
@@ -229,133 +229,133 @@
         IdleConnection idle = idleConnection("/once/");
         OnLoop.run(fixture.loop, () -> {
             if (resetFirst) {
-                idle.first().wire().reset();
+                idle.first().peer().reset();
             }
             idle.client().send(request("/once/", "", "racing"));
             if (!resetFirst) {
-                idle.first().wire().reset();
+                idle.first().peer().reset();
             }
         });
         OnLoop.await(
                 fixture.loop,
                 () -> !fixture.servers.calls.isEmpty() || idle.client().hasBytes());
         Call sent = fixture.servers.calls.poll();
-        boolean read = sent != null && sent.wire() == idle.first().wire();
+        boolean read = sent != null && sent.peer() == idle.first().peer();
         boolean elsewhere = sent != null && !read;
         if (elsewhere) {
             serve(sent, "own");
         }
-        Wire.Message response = idle.client().read();
+        TestPeer.Message response = idle.client().read();
         boolean rejected = sent == null && response.status() == 503; // correct, as no server has read any of it
         assertEquals(elsewhere ? 200 : rejected ? 503 : 502, response.status());
         assertEquals(elsewhere ? "own" : "", response.body());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anInterimResponseDoesNotMeanThatTheRequestDidNotRun() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
-        call.wire().send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n" + idOf(call) + "\r\n");
-        call.wire().reset();
+        call.peer().send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n" + idOf(call) + "\r\n");
+        call.peer().reset();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A response without a length ends with the connection. */
     @TestOnSafeAndUnsafeRoutes
     void aResponseWithoutALengthIsCompleteAtEndOfStream(String target) throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest(target);
+        TestPeer client = fixture.sendRequest(target);
         Call call = fixture.nextCall();
-        call.wire().send(sealedHead(call, "") + "half");
-        call.wire().close();
+        call.peer().send(sealedHead(call, "") + "half");
+        call.peer().close();
         assertEquals("half", client.read().body());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnSafeAndUnsafeRoutes
     void aResponseWithoutALengthIsTruncatedAtAReset(String target) throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest(target);
+        TestPeer client = fixture.sendRequest(target);
         Call call = fixture.nextCall();
-        call.wire().send(sealedHead(call, "") + "half");
-        call.wire().reset();
+        call.peer().send(sealedHead(call, "") + "half");
+        call.peer().reset();
         if (target.equals("/safe/")) {
             assertServed(fixture.nextCall(), client, "own");
         } else {
             assertEquals(502, client.read().status());
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- early responses ------------------------------------------------------------------------------
 
-    private Wire sendLongRequest(String target) throws IOException {
-        Wire client = fixture.client();
+    private TestPeer sendLongRequest(String target) throws IOException {
+        TestPeer client = fixture.client();
         client.send(request(target, "", "x".repeat(LONG_BODY_BYTES)));
         return client;
     }
 
     /** A raw server responds to the request with this attempt id. */
-    private static void respondWithId(Wire wire, String id, String status, String fields, String body)
+    private static void respondWithId(TestPeer peer, String id, String status, String fields, String body)
             throws IOException {
-        wire.answer(status, "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + fields, body);
+        peer.respond(status, "X-Dewplank-Request-Attempt-Id: " + id + "\r\n" + fields, body);
     }
 
     /** The server continues to read: only the rest of the body may be sent on the connection. */
     @TestOnSafeAndUnsafeRoutes
     void anEarlyResponseIsRelayedAndItsConnectionIsNotReused(String target) throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             fixture.servers.add(raw, PLAIN, null);
-            Wire client = sendLongRequest(target);
-            Wire wire = raw.nextConnection();
-            String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
-            respondWithId(wire, id, "200 OK", SEAL, "early");
+            TestPeer client = sendLongRequest(target);
+            TestPeer peer = raw.nextConnection();
+            String id = peer.readHead().header("X-Dewplank-Request-Attempt-Id");
+            respondWithId(peer, id, "200 OK", SEAL, "early");
             assertEquals("early", client.read().body());
             client.send(request(target, "", ""));
-            Wire next = raw.nextConnection();
-            assertNotSame(wire, next);
-            assertTrue(wire.readToEnd().chars().allMatch(sent -> sent == 'x'), "bytes other than those of the body");
+            TestPeer next = raw.nextConnection();
+            assertNotSame(peer, next);
+            assertTrue(peer.readToEnd().chars().allMatch(sent -> sent == 'x'), "bytes other than those of the body");
             id = next.read().header("X-Dewplank-Request-Attempt-Id");
             respondWithId(next, id, "200 OK", "Connection: close\r\n" + SEAL, "own");
             assertEquals("own", client.read().body());
-            fixture.assertQuiet();
+            fixture.assertNoOpenRequests();
         }
     }
 
     /** A long request is rejected before it was sent completely: the next server receives all of it, once. */
     @TestOnSafeAndUnsafeRoutes
     void aRequestThatIsRejectedEarlyIsRetriedWithItsCompleteBody(String target) throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             fixture.servers.add(raw, PLAIN, null);
-            Wire client = sendLongRequest(target);
-            Wire wire = raw.nextConnection();
-            String id = wire.readHead().header("X-Dewplank-Request-Attempt-Id");
+            TestPeer client = sendLongRequest(target);
+            TestPeer peer = raw.nextConnection();
+            String id = peer.readHead().header("X-Dewplank-Request-Attempt-Id");
             ScriptedServer other = fixture.servers.plain();
-            respondWithId(wire, id, "503 Service Unavailable", NOT_EXECUTED, "");
+            respondWithId(peer, id, "503 Service Unavailable", NOT_EXECUTED, "");
             Call call = fixture.nextCall();
             assertSame(other, call.server());
             assertEquals(id, attemptId(call));
             assertEquals(LONG_BODY_BYTES, call.message().body().length());
             assertServed(call, client, "own");
-            fixture.assertQuiet();
+            fixture.assertNoOpenRequests();
         }
     }
 
     /** Whether a connection to the server was opened before a response was received. */
-    private boolean isConnectedBeforeResponse(ScriptedServer raw, Wire client) throws Exception {
-        OnLoop.await(fixture.loop, () -> raw.connectionsWaiting() > 0 || client.hasBytes());
-        return raw.connectionsWaiting() > 0;
+    private boolean isConnectedBeforeResponse(ScriptedServer raw, TestPeer client) throws Exception {
+        OnLoop.await(fixture.loop, () -> raw.pendingConnections() > 0 || client.hasBytes());
+        return raw.pendingConnections() > 0;
     }
 
     /** The deadline passes while the body is being sent. The server may have started, so 503 would be incorrect. */
     @Test
     void anUnsafeRequestThatIsPartlySentAtItsDeadlineIsNotRejected() throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             fixture.servers.add(raw, PLAIN, null);
-            Wire client = sendLongRequest("/half/"); // its timeout counts from its first byte
+            TestPeer client = sendLongRequest("/half/"); // its timeout counts from its first byte
             for (int sends = 1; !isConnectedBeforeResponse(raw, client); sends++) { // received after its deadline
                 assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request reached the server");
                 assertRejected(client.read());
@@ -363,7 +363,7 @@
             }
             raw.nextConnection().readHead();
             assertEquals(504, client.read().status());
-            fixture.assertQuiet();
+            fixture.assertNoOpenRequests();
         }
     }
 
@@ -378,10 +378,10 @@
     void aResponseThatRacesWithTheDeadlineLeadsToOneResponse(String target) throws Exception {
         fixture.servers.plain();
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer(target, "");
-        Wire client = request.client();
+        TestPeer client = request.client();
         Call call = request.call();
         fixture.runThenBlockLoop(2 * TIMEOUT_MS, () -> serve(call, "just in time"));
-        Wire.Message response = client.read();
+        TestPeer.Message response = client.read();
         assertTrue(
                 response.status() == 200 && response.body().equals("just in time") || response.status() == 504,
                 response.startLine());
@@ -393,15 +393,15 @@
     void aResponseAfterTheDeadlineIsDiscarded(String target) throws Exception {
         fixture.servers.plain();
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer(target, "");
-        Wire client = request.client();
+        TestPeer client = request.client();
         Call call = request.call();
         assertEquals(504, client.read().status());
-        call.wire().awaitEnd();
+        call.peer().awaitClose();
         client.send(request("/safe/", "", ""));
         Call next = fixture.nextCall();
-        assertNotSame(call.wire(), next.wire());
+        assertNotSame(call.peer(), next.peer());
         assertServed(next, client, "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A reset at the deadline: in either order, a request that may have run is not rejected. */
@@ -409,15 +409,15 @@
     void aResetThatRacesWithTheDeadlineIsNotARejection() throws Exception {
         fixture.servers.plain();
         ForwarderFixture.InFlight request = fixture.sendUntilAtServer("/brief/", "");
-        Wire client = request.client();
+        TestPeer client = request.client();
         Call call = request.call();
-        fixture.runThenBlockLoop(2 * TIMEOUT_MS, () -> call.wire().reset());
+        fixture.runThenBlockLoop(2 * TIMEOUT_MS, () -> call.peer().reset());
         int status = client.read().status();
         assertTrue(status == 502 || status == 504, "status " + status);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         client.send(request("/none/", "", "")); // the connection is still usable
         assertEquals(404, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- overdue responses ----------------------------------------------------------------------------
@@ -427,11 +427,11 @@
     void theResponseToACancelledAttemptIsDiscarded() throws Exception {
         fixture.servers.plainServers(2);
         fixture.openIdleConnections("/once/");
-        Wire client = fixture.sendRequest("/quick/");
+        TestPeer client = fixture.sendRequest("/quick/");
         Call first = fixture.nextCall();
         Call second = fixture.nextCall();
         assertEquals(attemptId(first), attemptId(second));
-        first.wire().awaitEnd();
+        first.peer().awaitClose();
         assertServed(second, client, "second");
         assertNextRequestIsServed(client, "/once/");
     }
@@ -444,7 +444,7 @@
     void anOverdueTimerThatRacesWithTheResponseLeadsToOneResponse() throws Exception {
         fixture.servers.plainServers(2);
         fixture.openIdleConnections("/once/");
-        Wire client = fixture.sendRequest("/quick/");
+        TestPeer client = fixture.sendRequest("/quick/");
         Call first = fixture.nextCall();
         fixture.runThenBlockLoop(OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> serve(first, "first"));
         OnLoop.await(fixture.loop, () -> !fixture.servers.calls.isEmpty() || client.hasBytes());
@@ -461,25 +461,25 @@
     void anOverdueTimerThatRacesWithAResetLeadsToOneRetry() throws Exception {
         fixture.servers.plainServers(3);
         fixture.openIdleConnections("/once/");
-        Wire client = fixture.sendRequest("/quick/");
+        TestPeer client = fixture.sendRequest("/quick/");
         Call first = fixture.nextCall();
         fixture.runThenBlockLoop(
-                OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> first.wire().reset());
+                OVERDUE_AFTER_MS + REUSABLE_AFTER_MS, () -> first.peer().reset());
         Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertServed(second, client, "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void anUnsafeRequestIsNotRetriedAfterADelayedClose() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/once/");
+        TestPeer client = fixture.sendRequest("/once/");
         Call call = fixture.nextCall();
-        fixture.pass(REUSABLE_AFTER_MS);
-        call.wire().close();
+        fixture.waitOnLoop(REUSABLE_AFTER_MS);
+        call.peer().close();
         assertEquals(502, client.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- disconnects and pipelining -------------------------------------------------------------------
@@ -488,34 +488,34 @@
     @TestOnSafeAndUnsafeRoutes
     void theRestOfADisconnectedClientsResponseIsDiscarded(String target) throws Exception {
         fixture.servers.plain();
-        Wire disconnected = fixture.sendRequest(target);
+        TestPeer disconnected = fixture.sendRequest(target);
         Call call = fixture.nextCall();
-        call.wire().send(sealedHead(call, "Content-Length: 8\r\n") + "half");
+        call.peer().send(sealedHead(call, "Content-Length: 8\r\n") + "half");
         disconnected.close();
-        call.wire().awaitEnd();
-        Wire client = fixture.sendRequest(target);
+        call.peer().awaitClose();
+        TestPeer client = fixture.sendRequest(target);
         Call next = fixture.nextCall();
-        assertNotSame(call.wire(), next.wire());
+        assertNotSame(call.peer(), next.peer());
         assertServed(next, client, "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The outcome of a pipelined request does not affect the response to the next one. */
     @Test
     void pipelinedRequestsReceiveTheirOwnResponsesAfterAFailure() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send(request("/once/1", "", "")
                 + request("/safe/2", "", "")
                 + request("/none/3", "", "")
                 + request("/once/4", "", ""));
         Call first = fixture.nextCall();
         assertEquals("/once/1", first.message().target());
-        first.wire().reset();
+        first.peer().reset();
         assertEquals(502, client.read().status());
         Call second = fixture.nextCall();
         assertEquals("/safe/2", second.message().target());
-        second.wire().reset();
+        second.peer().reset();
         Call retry = fixture.nextCall();
         assertEquals("/safe/2", retry.message().target());
         assertServed(retry, client, "2");
@@ -524,24 +524,24 @@
         assertEquals("/once/4", fourth.message().target());
         assertNotEquals(attemptId(retry), attemptId(fourth));
         assertServed(fourth, client, "4");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The response to a HEAD request states the length of a body that is not sent. */
     @Test
     void theResponseToAHeadRequestHasNoBodyOnEitherSide() throws Exception {
         fixture.servers.plain();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send("HEAD /safe/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/once/", "", ""));
         Call head = fixture.nextCall();
         assertEquals("HEAD", head.message().method());
-        head.wire().send(sealedHead(head, "Content-Length: 5\r\n"));
-        Wire.Message response = client.readHead();
+        head.peer().send(sealedHead(head, "Content-Length: 5\r\n"));
+        TestPeer.Message response = client.readHead();
         assertEquals(200, response.status());
         assertEquals("h1", response.header("X-Dewplank-Request-Attempt-Id"));
         Call next = fixture.nextCall();
         assertServed(next, client, "own");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/ServerAnswers.java
+++ b/dataplane/src/test/java/dewplank/dataplane/ServerResponses.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 
 /** The responses of the scripted servers. */
-final class ServerAnswers {
+final class ServerResponses {
     static final String SEAL = "X-Dewplank-Server-Seal: s.1\r\n";
     static final String NOT_EXECUTED = "X-Dewplank-Not-Executed: 1\r\n";
 
@@ -14,16 +14,16 @@
      */
     private static final String KEEP_ALIVE = "Keep-Alive: timeout=60\r\n";
 
-    private ServerAnswers() {}
+    private ServerResponses() {}
 
     /** The server responds with its seal and the request's attempt id. */
     static void serve(Call call, String body) throws IOException {
-        answer(call, "200 OK", SEAL + KEEP_ALIVE, body);
+        respond(call, "200 OK", SEAL + KEEP_ALIVE, body);
     }
 
     /** The server responds with the request's attempt id. */
-    static void answer(Call call, String status, String fields, String body) throws IOException {
-        call.wire().answer(status, idOf(call) + fields, body);
+    static void respond(Call call, String status, String fields, String body) throws IOException {
+        call.peer().respond(status, idOf(call) + fields, body);
     }
 
     /** The head of a response with the server's seal and the request's attempt id, followed by these fields. */
@@ -39,12 +39,12 @@
 
     /** The server rejects the request because it is full. */
     static void reject(Call call) throws IOException {
-        answer(call, "503 Service Unavailable", NOT_EXECUTED, "");
+        respond(call, "503 Service Unavailable", NOT_EXECUTED, "");
     }
 
     /** A prefill server responds with the handle of its KV cache. */
-    static void handOver(Call prefill, String handle) throws IOException {
-        answer(
+    static void respondWithKvHandle(Call prefill, String handle) throws IOException {
+        respond(
                 prefill,
                 "200 OK",
                 KEEP_ALIVE + "Content-Type: application/json\r\n",
@@ -53,7 +53,7 @@
 
     /** A decode server starts its stream. */
     static void beginStream(Call decode) throws IOException {
-        decode.wire()
+        decode.peer()
                 .send(sealedHead(
                         decode, KEEP_ALIVE + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"));
     }
@@ -61,8 +61,8 @@
     /** A decode server sends a stream of one event. */
     static void sendStream(Call decode, int eventId) throws IOException {
         beginStream(decode);
-        decode.wire().chunk(event(eventId));
-        decode.wire().lastChunk();
+        decode.peer().chunk(event(eventId));
+        decode.peer().lastChunk();
     }
 
     static String event(int id) {
--- a/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionClientTest.java
@@ -21,7 +21,7 @@
 import dewplank.dataplane.FakeControlPlane.Session;
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ReservedPort;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.membership.Member;
 import dewplank.membership.SessionTable;
 import dewplank.message.Endpoint;
@@ -136,14 +136,14 @@
         session.send(complete(inForce));
         session.heartbeatWithVersion(3);
         session.send(delta(other, newest));
-        session.awaitEnd();
+        session.awaitClose();
         assertEquals(3, fixture.metadata.configurationVersion());
         Session next = control.session();
         assertEquals(SELF, next.open().member);
         assertEquals(3, next.heartbeat().configurationVersion);
         next.send(complete(newest));
         fixture.awaitVersion(8);
-        assertFalse(next.isEnded());
+        assertFalse(next.isClosed());
     }
 
     @Test
@@ -156,12 +156,12 @@
         session.heartbeatWithVersion(3);
         for (byte[] malformed : new byte[][] {{1, 2, 3}, DeflateCodec.deflate("{}".getBytes(StandardCharsets.UTF_8))}) {
             session.send(new FleetUpdate(malformed, 9, 0, null, null));
-            session.awaitEnd();
+            session.awaitClose();
             session = control.session();
             assertEquals(3, session.heartbeat().configurationVersion);
         }
         session.send(new FleetUpdate(DeflateCodec.deflate(new byte[] {1, 2, 3}), 9, 3, null, null));
-        session.awaitEnd();
+        session.awaitClose();
         assertEquals("a", fixture.metadata.routes().find(HOST, "/a/").name());
     }
 
@@ -185,7 +185,7 @@
         fixture.await(fixture.metadata::isComplete); // all updates before it have been handled then
         assertEquals(8, fixture.metadata.configurationVersion());
         assertEquals("b", fixture.metadata.routes().find(HOST, "/b/").name());
-        assertFalse(slow.isEnded());
+        assertFalse(slow.isClosed());
         assertEquals(2, OnLoop.get(fixture.loop, fixture.client::openSessions));
     }
 
@@ -229,7 +229,7 @@
         try (unreachable;
                 ServerSocket later = unreachable.listen()) {
             fixture.awaitConnection(unreachable.address());
-            later.setSoTimeout(Wire.PATIENCE_S * 1_000);
+            later.setSoTimeout(TestPeer.TIMEOUT_S * 1_000);
             later.accept().close();
         }
     }
@@ -248,7 +248,7 @@
         used.remove(third);
         used.get(0).session().reset();
         assertEquals(SELF, third.session().open().member);
-        assertFalse(used.get(1).session().isEnded());
+        assertFalse(used.get(1).session().isClosed());
     }
 
     /** Checks that the timeout has passed, by one heartbeat interval at most. */
@@ -268,10 +268,10 @@
         FakeControlPlane third = fixture.controlPlane();
         fixture.addSeeds(third);
         double waitStartedAt = fixture.now();
-        replaced.awaitEnd();
+        replaced.awaitClose();
         assertElapsed(PARAMETERS.heartbeatTimeoutMs(), waitStartedAt);
         assertEquals(SELF, third.session().open().member);
-        assertFalse(remaining.isEnded());
+        assertFalse(remaining.isClosed());
     }
 
     @Test
@@ -286,12 +286,12 @@
         fixture.awaitVersion(3); // with a configuration in force, the session without a quorum is no longer needed
         FakeControlPlane third = fixture.controlPlane();
         fixture.addSeeds(third);
-        replaced.awaitEnd();
+        replaced.awaitClose();
         assertElapsed(PARAMETERS.quorumTimeoutMs(), startedAt);
         assertEquals(SELF, third.session().open().member);
         fixture.advanceClock(700);
         assertTrue(partitioned.hasNoNewSession(), "it is not in backoff");
-        assertFalse(remaining.isEnded());
+        assertFalse(remaining.isClosed());
     }
 
     /** An acknowledgement reports a quorum as of the time of its heartbeat, however late it arrives. */
@@ -305,7 +305,7 @@
         fixture.awaitVersion(3);
         fixture.addSeeds(fixture.controlPlane());
         long first = replaced.heartbeat().sequence;
-        for (int acks = 0; !replaced.isEnded(); acks++) {
+        for (int acks = 0; !replaced.isClosed(); acks++) {
             assertTrue(acks < 60, "acknowledgements of the first heartbeat keep the session open");
             replaced.sendIfOpen(new HeartbeatAck(first, true, List.of()));
             fixture.advanceClock(100);
@@ -321,7 +321,7 @@
         Session first = one.session();
         Session second = two.session();
         fixture.advanceClock(2_200);
-        assertFalse(first.isEnded() || second.isEnded());
+        assertFalse(first.isClosed() || second.isClosed());
         Configuration newest = configuration(7, safeRoute("a", 1));
         first.send(complete(newest));
         fixture.awaitVersion(7); // a chosen value is valid even if its sender has no quorum
@@ -378,11 +378,11 @@
         FakeControlPlane fresh = fixture.controlPlane();
         fixture.addSeeds(fresh);
         Session third = fresh.session();
-        assertFalse(first.isEnded() || second.isEnded());
+        assertFalse(first.isClosed() || second.isClosed());
         third.send(complete(configuration(7, safeRoute("new", 1))));
         fixture.awaitVersion(7);
         fixture.awaitOpenSessions(2);
-        assertFalse(third.isEnded());
+        assertFalse(third.isClosed());
     }
 
     /**
@@ -429,8 +429,8 @@
         Session second = two.session();
         fixture.awaitOpenSessions(2);
         OnLoop.run(fixture.loop, fixture.client::close);
-        first.awaitEnd();
-        second.awaitEnd();
+        first.awaitClose();
+        second.awaitClose();
         fixture.advanceClock(700);
         assertTrue(one.hasNoNewSession() && two.hasNoNewSession());
     }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionFixture.java
@@ -1,10 +1,10 @@
 package dewplank.dataplane;
 
 import dewplank.exchange.OnLoop;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import dewplank.membership.Member;
 import dewplank.net.EventLoop;
-import dewplank.quota.QuotaTerms;
+import dewplank.quota.QuotaBounds;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,12 +22,12 @@
     static final Member SELF = new Member("n1", Member.DATA, "10.0.0.9:1", ScriptedFleet.ZONE, 17);
 
     /** With these terms, a token may be used for half a second after it was requested. */
-    static final QuotaTerms QUOTA_TERMS = new QuotaTerms(10_000, 0.05, 0);
+    static final QuotaBounds QUOTA_BOUNDS = new QuotaBounds(10_000, 0.05, 0);
 
     private static final int RANDOM_SEED = 3;
 
     /** Timeout of a wait, by the test's clock. */
-    private static final double MAX_WAIT_MS = Wire.PATIENCE_S * 1_000.0;
+    private static final double MAX_WAIT_MS = TestPeer.TIMEOUT_S * 1_000.0;
 
     final EventLoop loop = new EventLoop();
     final FleetMetadata metadata;
@@ -52,7 +52,7 @@
                 new SplittableRandom(RANDOM_SEED),
                 contactMs,
                 changes::incrementAndGet);
-        quotas = new QuotaClient(scheduler, QUOTA_TERMS);
+        quotas = new QuotaClient(scheduler, QUOTA_BOUNDS);
         client.connectQuotaClient(quotas);
     }
 
@@ -97,8 +97,8 @@
     }
 
     /** Creates another quota client with these terms, which replaces {@link #quotas}. */
-    QuotaClient replaceQuotaClient(QuotaTerms terms) throws Exception {
-        QuotaClient next = new QuotaClient(scheduler, terms);
+    QuotaClient replaceQuotaClient(QuotaBounds bounds) throws Exception {
+        QuotaClient next = new QuotaClient(scheduler, bounds);
         OnLoop.run(loop, () -> client.connectQuotaClient(next));
         return next;
     }
--- a/dataplane/src/test/java/dewplank/dataplane/SessionCrossingTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/SessionRaceTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Messages that arrive while a session closes, after a broken connection, or after a control plane's restart. */
-class SessionCrossingTest {
+class SessionRaceTest {
     private static final double CONTACT_MS = 4_000;
 
     private SessionFixture fixture;
@@ -54,7 +54,7 @@
             session.send(update(9, new EndpointListVersion(1, 9)));
             fixture.client.close();
         });
-        session.awaitEnd();
+        session.awaitClose();
         OnLoop.run(fixture.loop, () -> {});
         assertEquals(3, fixture.metadata.configurationVersion());
         assertEquals(new EndpointListVersion(1, 1), fixture.metadata.listVersion());
--- a/dataplane/src/test/java/dewplank/dataplane/BegunStream.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StartedStream.java
@@ -1,11 +1,11 @@
 package dewplank.dataplane;
 
-import static dewplank.dataplane.ServerAnswers.beginStream;
-import static dewplank.dataplane.ServerAnswers.event;
+import static dewplank.dataplane.ServerResponses.beginStream;
+import static dewplank.dataplane.ServerResponses.event;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 
 /**
@@ -13,26 +13,26 @@
  *
  * @param head the head of the client's response
  */
-record BegunStream(Wire client, Call decode, Wire.Message head) {
+record StartedStream(TestPeer client, Call decode, TestPeer.Message head) {
     /** Sends the request and starts the stream; the next call received must be the decode server's. */
-    static BegunStream begin(ForwarderFixture fixture, String target, String prompt) throws Exception {
-        Wire client = fixture.sendRequest(target, prompt);
-        return begin(fixture.nextCall(), client);
+    static StartedStream start(ForwarderFixture fixture, String target, String prompt) throws Exception {
+        TestPeer client = fixture.sendRequest(target, prompt);
+        return start(fixture.nextCall(), client);
     }
 
     /** The decode server starts its stream, and the client receives the first event. */
-    static BegunStream begin(Call decode, Wire client) throws IOException {
+    static StartedStream start(Call decode, TestPeer client) throws IOException {
         beginStream(decode);
-        decode.wire().chunk(event(1));
-        Wire.Message head = client.readHead();
+        decode.peer().chunk(event(1));
+        TestPeer.Message head = client.readHead();
         assertEquals(200, head.status());
         assertEquals(event(1), client.readChunk());
-        return new BegunStream(client, decode, head);
+        return new StartedStream(client, decode, head);
     }
 
     /** The server's end of the connection. */
-    Wire server() {
-        return decode.wire();
+    TestPeer server() {
+        return decode.peer();
     }
 
     /** The server sends the event, and the client receives it. */
--- a/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamRaceTest.java
@@ -9,14 +9,14 @@
 import static dewplank.dataplane.ClientRequests.request;
 import static dewplank.dataplane.Expectations.assertResumed;
 import static dewplank.dataplane.Expectations.assertStreamed;
-import static dewplank.dataplane.ServerAnswers.NOT_EXECUTED;
-import static dewplank.dataplane.ServerAnswers.SEAL;
-import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.beginStream;
-import static dewplank.dataplane.ServerAnswers.event;
-import static dewplank.dataplane.ServerAnswers.handOver;
-import static dewplank.dataplane.ServerAnswers.idOf;
-import static dewplank.dataplane.ServerAnswers.sealedHead;
+import static dewplank.dataplane.ServerResponses.NOT_EXECUTED;
+import static dewplank.dataplane.ServerResponses.SEAL;
+import static dewplank.dataplane.ServerResponses.beginStream;
+import static dewplank.dataplane.ServerResponses.event;
+import static dewplank.dataplane.ServerResponses.idOf;
+import static dewplank.dataplane.ServerResponses.respond;
+import static dewplank.dataplane.ServerResponses.respondWithKvHandle;
+import static dewplank.dataplane.ServerResponses.sealedHead;
 import static dewplank.dataplane.TestConfiguration.MODEL;
 import static dewplank.dataplane.TestRoute.streamingRoute;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
@@ -30,7 +30,7 @@
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -70,12 +70,12 @@
         fixture.close();
     }
 
-    private BegunStream begin(String target) throws Exception {
-        return BegunStream.begin(fixture, target, PROMPT);
+    private StartedStream begin(String target) throws Exception {
+        return StartedStream.start(fixture, target, PROMPT);
     }
 
     /** The connection ends after exactly these bytes. */
-    private static void assertAbortedAfter(Wire client, String expected) throws IOException {
+    private static void assertAbortedAfter(TestPeer client, String expected) throws IOException {
         String received = client.readToEnd();
         assertEquals(expected, received);
     }
@@ -87,7 +87,7 @@
     void aStreamWhoseEndRacesWithAResetIsCompletedOrResumed() throws Exception {
         disableHedging();
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin("/res/");
+        StartedStream stream = begin("/res/");
         OnLoop.run(fixture.loop, () -> {
             stream.server().chunk(event(2));
             stream.server().lastChunk();
@@ -105,23 +105,23 @@
                 assertEquals(event(2), stream.client().readChunk());
             } else {
                 assertEquals("1", lastEventId(next));
-                next.wire().chunk(event(2));
+                next.peer().chunk(event(2));
                 assertEquals(event(2), stream.client().readChunk());
             }
-            next.wire().lastChunk();
+            next.peer().lastChunk();
             assertEquals("", stream.client().readChunk());
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnResumableAndNonResumableRoutes
     void aResetAfterACompleteStreamHasNoEffect(String target) throws Exception {
         disableHedging();
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin(target);
+        StartedStream stream = begin(target);
         stream.assertEnds();
         stream.server().reset();
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The end of its connection completes a stream without a length, except within an event. */
@@ -129,12 +129,12 @@
     void aCloseWithinAnEventTruncatesTheStream(String target) throws Exception {
         disableHedging();
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest(target, PROMPT);
+        TestPeer client = fixture.sendRequest(target, PROMPT);
         Call decodeCall = fixture.nextCall();
-        decodeCall.wire().send(sealedHead(decodeCall, "") + event(1) + "id: 2\ndata: half");
+        decodeCall.peer().send(sealedHead(decodeCall, "") + event(1) + "id: 2\ndata: half");
         assertEquals(200, client.readHead().status());
         assertEquals(event(1), client.readChunk());
-        decodeCall.wire().close();
+        decodeCall.peer().close();
         if (target.equals("/res/")) {
             Call next = fixture.nextCall();
             assertEquals("1", lastEventId(next));
@@ -142,16 +142,16 @@
         } else {
             assertAbortedAfter(client, "");
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnResumableAndNonResumableRoutes
     void aCloseBeforeTheFirstEventTruncatesTheStream(String target) throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest(target, PROMPT);
+        TestPeer client = fixture.sendRequest(target, PROMPT);
         Call decodeCall = fixture.nextCall();
-        decodeCall.wire().send(sealedHead(decodeCall, ""));
-        decodeCall.wire().close();
+        decodeCall.peer().send(sealedHead(decodeCall, ""));
+        decodeCall.peer().close();
         if (target.equals("/res/")) {
             Call next = fixture.nextCall();
             assertNull(lastEventId(next));
@@ -159,33 +159,33 @@
         } else {
             assertEquals(502, client.read().status());
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** Without an event id the position to resume from is unknown, and relayed events would be duplicated. */
     @Test
     void aStreamIsNotResumedAfterAnEventWithoutAnId() throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/res/", PROMPT);
+        TestPeer client = fixture.sendRequest("/res/", PROMPT);
         Call decodeCall = fixture.nextCall();
         beginStream(decodeCall);
-        decodeCall.wire().chunk(event(1) + "data: nameless\n\n");
+        decodeCall.peer().chunk(event(1) + "data: nameless\n\n");
         assertEquals(200, client.readHead().status());
         assertEquals(event(1) + "data: nameless\n\n", client.readChunk());
-        decodeCall.wire().reset();
+        decodeCall.peer().reset();
         assertAbortedAfter(client, "");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnResumableAndNonResumableRoutes
     void aSecondResponseAfterAStreamIsDiscarded(String target) throws Exception {
         fixture.servers.decode();
-        BegunStream stream = begin(target);
+        StartedStream stream = begin(target);
         stream.server()
                 .send("0\r\n\r\nHTTP/1.1 200 OK\r\n" + idOf(stream.decode()) + SEAL + "Content-Length: 2\r\n\r\nho");
         assertEquals("", stream.client().readChunk());
-        stream.server().awaitEnd();
-        fixture.assertQuiet();
+        stream.server().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     /**
@@ -194,60 +194,60 @@
     @TestOnResumableAndNonResumableRoutes
     void aResponseMarkedNotExecutedIsNotRelayed(String target) throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest(target, PROMPT);
+        TestPeer client = fixture.sendRequest(target, PROMPT);
         Call first = fixture.nextCall();
-        answer(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
+        respond(first, "200 OK", SEAL + NOT_EXECUTED, "id: 7\ndata: not run\n\n");
         Call second = fixture.nextCall();
         assertNotSame(first.server(), second.server());
         assertNull(lastEventId(second));
         assertStreamed(second, client, 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The response to a HEAD request ends with its head and needs neither a length nor events. */
     @Test
     void theResponseToAHeadRequestIsNotATruncatedStream() throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.client();
+        TestPeer client = fixture.client();
         client.send("HEAD /gen/ HTTP/1.1\r\nHost: " + HOST + "\r\nX-Dewplank-Request-Attempt-Id: h1\r\n\r\n"
                 + request("/gen/", PROMPT, ""));
         Call head = fixture.nextCall();
-        head.wire().send(sealedHead(head, ""));
+        head.peer().send(sealedHead(head, ""));
         assertEquals("h1", client.readHead().header("X-Dewplank-Request-Attempt-Id"));
         Call next = fixture.nextCall();
         assertStreamed(next, client, 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The rest of a disconnected client's stream and the next stream do not share a connection. */
     @TestOnResumableAndNonResumableRoutes
     void theRestOfADisconnectedClientsStreamIsDiscarded(String target) throws Exception {
         fixture.servers.decode();
-        BegunStream disconnected = begin(target);
+        StartedStream disconnected = begin(target);
         disconnected.client().close();
-        disconnected.server().awaitEnd();
-        BegunStream next = begin(target);
+        disconnected.server().awaitClose();
+        StartedStream next = begin(target);
         assertNotSame(disconnected.server(), next.server());
         next.assertEnds();
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnResumableAndNonResumableRoutes
     void aLateStreamOnAReusedConnectionIsDiscarded(String target) throws Exception {
         fixture.servers.decode();
-        BegunStream first = begin(target);
+        StartedStream first = begin(target);
         first.assertEnds();
-        fixture.pass(REUSABLE_AFTER_MS);
+        fixture.waitOnLoop(REUSABLE_AFTER_MS);
         first.client().send(request(target, PROMPT, ""));
         Call second = fixture.nextCall();
-        assertSame(first.server(), second.wire());
+        assertSame(first.server(), second.peer());
         beginStream(first.decode());
-        second.wire().chunk("id: 9\ndata: to the first request\n\n");
-        second.wire().lastChunk();
-        answer(first.decode(), "503 Service Unavailable", NOT_EXECUTED, "");
-        second.wire().answer("200 OK", SEAL, "id: 9\ndata: without an id\n\n");
+        second.peer().chunk("id: 9\ndata: to the first request\n\n");
+        second.peer().lastChunk();
+        respond(first.decode(), "503 Service Unavailable", NOT_EXECUTED, "");
+        second.peer().respond("200 OK", SEAL, "id: 9\ndata: without an id\n\n");
         assertStreamed(second, first.client(), 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- stalls ---------------------------------------------------------------------------------------
@@ -256,19 +256,19 @@
     @Test
     void eventsOfAStalledServerAreDiscardedAfterResumption() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(fixture, "/res/", PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/res/", PROMPT);
         Call next = fixture.nextCall();
-        stream.server().awaitEnd();
+        stream.server().awaitClose();
         assertEquals("1", lastEventId(next));
         assertResumed(next, stream.client(), 2);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The event arrives when the stall timeout expires: event 2 is relayed once, from one of the servers. */
     @Test
     void anEventThatRacesWithTheStallTimeoutIsRelayedOnce() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(fixture, "/res/", PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/res/", PROMPT);
         fixture.runThenBlockLoop(PAST_STALL_TIMEOUT_MS, () -> {
             try {
                 stream.server().chunk(event(2));
@@ -290,7 +290,7 @@
             }
             assertResumed(next, stream.client(), last.equals("2") ? 3 : 2);
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- KV transfer ---------------------------------------------------------------------------------
@@ -304,7 +304,7 @@
     void aKvHandleThatRacesWithTheOverdueTimerLeadsToOneDecode(String target) throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest(target, SHORT_PROMPT);
+        TestPeer client = fixture.sendRequest(target, SHORT_PROMPT);
         Call prefillCall = fixture.nextCall();
         for (int sends = 1; prefillCall.server() != prefill; sends++) { // the connection was not established in time
             assertTrue(sends < ForwarderFixture.MAX_SENDS, "no request was prefilled");
@@ -313,27 +313,27 @@
             prefillCall = fixture.nextCall();
         }
         Call reached = prefillCall;
-        fixture.runThenBlockLoop(PAST_PREFILL_OVERDUE_MS, () -> handOver(reached, "h1"));
+        fixture.runThenBlockLoop(PAST_PREFILL_OVERDUE_MS, () -> respondWithKvHandle(reached, "h1"));
         Call decodeCall = fixture.nextCall();
         String from = kvFrom(decodeCall);
         assertTrue(from == null || from.equals(prefill.addressText() + "/h1"), from);
         assertStreamed(decodeCall, client, 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnResumableAndNonResumableRoutes
     void twoResponsesToOnePrefillLeadToOneDecode(String target) throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest(target, PROMPT);
+        TestPeer client = fixture.sendRequest(target, PROMPT);
         Call prefillCall = fixture.nextCall();
-        handOver(prefillCall, "h1");
+        respondWithKvHandle(prefillCall, "h1");
         Call decodeCall = fixture.nextCall();
         assertEquals(prefill.addressText() + "/h1", kvFrom(decodeCall));
-        handOver(prefillCall, "h2");
-        prefillCall.wire().awaitEnd();
+        respondWithKvHandle(prefillCall, "h2");
+        prefillCall.peer().awaitClose();
         assertStreamed(decodeCall, client, 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A late response to an earlier prefill arrives on the connection of the next one, before its response. */
@@ -343,21 +343,21 @@
         fixture.servers.decode();
         Call earlier = null;
         for (String handle : new String[] {"h1", "h2"}) {
-            Wire client = fixture.sendRequest("/gen/", PROMPT);
+            TestPeer client = fixture.sendRequest("/gen/", PROMPT);
             Call prefillCall = fixture.nextCall();
             if (earlier != null) {
-                assertSame(earlier.wire(), prefillCall.wire());
-                handOver(earlier, "late");
-                prefillCall.wire().answer("200 OK", "", "{\"context_handle\":\"unidentified\",\"token_count\":60}");
+                assertSame(earlier.peer(), prefillCall.peer());
+                respondWithKvHandle(earlier, "late");
+                prefillCall.peer().respond("200 OK", "", "{\"context_handle\":\"unidentified\",\"token_count\":60}");
             }
-            handOver(prefillCall, handle);
+            respondWithKvHandle(prefillCall, handle);
             Call decodeCall = fixture.nextCall();
             assertEquals(prefill.addressText() + "/" + handle, kvFrom(decodeCall));
             assertStreamed(decodeCall, client, 1);
             earlier = prefillCall;
-            fixture.pass(REUSABLE_AFTER_MS);
+            fixture.waitOnLoop(REUSABLE_AFTER_MS);
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The stalled decode server may have fetched the KV cache, so the handle is freed once and not sent again. */
@@ -365,45 +365,45 @@
     void theKvHandleOfAStalledDecodeIsFreedOnceAndNotSentAgain() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/res/", MEDIUM_PROMPT);
-        handOver(fixture.nextCall(), "h1");
+        TestPeer client = fixture.sendRequest("/res/", MEDIUM_PROMPT);
+        respondWithKvHandle(fixture.nextCall(), "h1");
         Call stalled = fixture.nextCall();
         assertEquals(prefill.addressText() + "/h1", kvFrom(stalled));
         int frees = 0;
         Call decodeCall = fixture.nextCall();
         for (; isKvHandleFreed(decodeCall); decodeCall = fixture.nextCall()) {
             assertEquals("/kv-handle/h1", decodeCall.message().target());
-            decodeCall.wire().answer("200 OK", "", "");
+            decodeCall.peer().respond("200 OK", "", "");
             frees++;
         }
         assertNull(kvFrom(decodeCall));
         assertStreamed(decodeCall, client, 1);
-        stalled.wire().awaitEnd();
+        stalled.peer().awaitClose();
         fixture.awaitNoOpenRequest();
         Call late =
                 frees == 0 ? fixture.nextCall() : null; // the request to free the handle may arrive after the decode
         assertTrue(late == null || isKvHandleFreed(late));
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A part of the request was sent, so the decode server may have fetched the KV cache. */
     @Test
     void theKvHandleOfADecodeThatIsResetWithinItsRequestIsNotSentAgain() throws Exception {
         ScriptedServer prefill = fixture.servers.prefill();
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             fixture.servers.add(raw, MODEL, "decode");
-            Wire client = fixture.client();
+            TestPeer client = fixture.client();
             client.send(request("/gen/", PROMPT, "x".repeat(LONG_BODY_BYTES)));
-            handOver(fixture.nextCall(), "h1");
-            Wire wire = raw.nextConnection();
-            assertEquals(prefill.addressText() + "/h1", wire.readHead().header("Kv-From"));
-            wire.reset();
+            respondWithKvHandle(fixture.nextCall(), "h1");
+            TestPeer peer = raw.nextConnection();
+            assertEquals(prefill.addressText() + "/h1", peer.readHead().header("Kv-From"));
+            peer.reset();
             assertEquals(502, client.read().status());
             Call free = fixture.nextCall();
             assertTrue(isKvHandleFreed(free));
             assertEquals("/kv-handle/h1", free.message().target());
-            assertEquals(0, raw.connectionsWaiting(), "the request was sent again");
-            fixture.assertQuiet();
+            assertEquals(0, raw.pendingConnections(), "the request was sent again");
+            fixture.assertNoOpenRequests();
         }
     }
 
@@ -411,23 +411,23 @@
     @Test
     void theResponseToAFreedKvHandleIsNotRelayedToAnotherRequest() throws Exception {
         fixture.servers.prefill();
-        Wire client = fixture.sendRequest("/gen/", PROMPT); // there is no decode server
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT); // there is no decode server
         Call prefillCall = fixture.nextCall();
-        handOver(prefillCall, "h1");
+        respondWithKvHandle(prefillCall, "h1");
         Call free = fixture.nextCall();
         assertTrue(isKvHandleFreed(free));
-        assertNotSame(prefillCall.wire(), free.wire());
+        assertNotSame(prefillCall.peer(), free.peer());
         assertEquals(503, client.read().status());
-        free.wire().answer("404 Not Found", "", "gone");
-        free.wire().awaitEnd();
-        fixture.pass(REUSABLE_AFTER_MS);
-        Wire next = fixture.sendRequest("/gen/", PROMPT);
+        free.peer().respond("404 Not Found", "", "gone");
+        free.peer().awaitClose();
+        fixture.waitOnLoop(REUSABLE_AFTER_MS);
+        TestPeer next = fixture.sendRequest("/gen/", PROMPT);
         Call nextPrefill = fixture.nextCall();
-        assertNotSame(free.wire(), nextPrefill.wire());
-        handOver(nextPrefill, "h2");
+        assertNotSame(free.peer(), nextPrefill.peer());
+        respondWithKvHandle(nextPrefill, "h2");
         assertTrue(isKvHandleFreed(fixture.nextCall()));
         assertEquals(503, next.read().status());
         assertFalse(next.hasBytes());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/StreamTest.java
@@ -9,13 +9,13 @@
 import static dewplank.dataplane.Expectations.assertResumed;
 import static dewplank.dataplane.Expectations.assertServed;
 import static dewplank.dataplane.Expectations.assertStreamed;
-import static dewplank.dataplane.ServerAnswers.SEAL;
-import static dewplank.dataplane.ServerAnswers.answer;
-import static dewplank.dataplane.ServerAnswers.beginStream;
-import static dewplank.dataplane.ServerAnswers.event;
-import static dewplank.dataplane.ServerAnswers.reject;
-import static dewplank.dataplane.ServerAnswers.sealedHead;
-import static dewplank.dataplane.ServerAnswers.serve;
+import static dewplank.dataplane.ServerResponses.SEAL;
+import static dewplank.dataplane.ServerResponses.beginStream;
+import static dewplank.dataplane.ServerResponses.event;
+import static dewplank.dataplane.ServerResponses.reject;
+import static dewplank.dataplane.ServerResponses.respond;
+import static dewplank.dataplane.ServerResponses.sealedHead;
+import static dewplank.dataplane.ServerResponses.serve;
 import static dewplank.dataplane.TestConfiguration.MODEL;
 import static dewplank.dataplane.TestRoute.streamingRoute;
 import static dewplank.dataplane.TestRoute.unsafeRoute;
@@ -28,7 +28,7 @@
 
 import dewplank.exchange.OnLoop;
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -69,8 +69,8 @@
         fixture.close();
     }
 
-    private BegunStream begin(String target) throws Exception {
-        return BegunStream.begin(fixture, target, PROMPT);
+    private StartedStream begin(String target) throws Exception {
+        return StartedStream.start(fixture, target, PROMPT);
     }
 
     // ---- relaying ------------------------------------------------------------------------------------
@@ -79,7 +79,7 @@
     @Test
     void eachEventIsRelayedAsItArrives() throws Exception {
         fixture.servers.decode();
-        BegunStream stream = begin("/gen/");
+        StartedStream stream = begin("/gen/");
         assertEquals("s.1", stream.head().header("X-Dewplank-Server-Seal"));
         assertEquals("text/event-stream", stream.head().header("Content-Type"));
         assertEquals(
@@ -89,14 +89,14 @@
             stream.assertRelays(id);
         }
         stream.assertEnds();
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void fragmentedEventsAreRelayedComplete() throws Exception {
         fixture.servers.decode();
-        BegunStream stream = begin("/gen/");
-        Wire server = stream.server();
+        StartedStream stream = begin("/gen/");
+        TestPeer server = stream.server();
         server.chunk("id: 2\nda");
         server.chunk("ta: t2\n\nid: 3\ndata: t3\n\nid");
         assertEquals(event(2) + event(3), stream.client().readChunk());
@@ -109,46 +109,46 @@
     @Test
     void aStreamIsRelayedWithAndWithoutAContentLength() throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         serve(fixture.nextCall(), event(1) + event(2));
         assertEquals(event(1) + event(2), client.read().body());
-        Wire next = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer next = fixture.sendRequest("/gen/", PROMPT);
         Call decodeCall = fixture.nextCall();
-        decodeCall.wire().send(sealedHead(decodeCall, "") + event(1));
-        decodeCall.wire().close();
+        decodeCall.peer().send(sealedHead(decodeCall, "") + event(1));
+        decodeCall.peer().close();
         assertEquals(event(1), next.read().body());
-        Wire empty = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer empty = fixture.sendRequest("/gen/", PROMPT);
         serve(fixture.nextCall(), "");
-        Wire.Message response = empty.read();
+        TestPeer.Message response = empty.read();
         assertEquals(200, response.status());
         assertEquals("", response.body());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamIsFollowedByThePipelinedRequest() throws Exception {
         fixture.servers.decode();
         fixture.servers.plain();
-        BegunStream stream = begin("/gen/");
+        StartedStream stream = begin("/gen/");
         stream.client().send(request("/plain/", "", ""));
         stream.assertEnds();
         assertServed(fixture.nextCall(), stream.client(), "plain");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamForAnotherAttemptIdIsDiscarded() throws Exception {
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT);
         Call decodeCall = fixture.nextCall();
         decodeCall
-                .wire()
+                .peer()
                 .send("HTTP/1.1 200 OK\r\nX-Dewplank-Request-Attempt-Id: another\r\n" + SEAL
                         + "Transfer-Encoding: chunked\r\n\r\n");
-        decodeCall.wire().chunk("id: 7\ndata: to another attempt\n\n");
-        decodeCall.wire().lastChunk();
+        decodeCall.peer().chunk("id: 7\ndata: to another attempt\n\n");
+        decodeCall.peer().lastChunk();
         assertStreamed(decodeCall, client, 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     // ---- breaks and resumption -----------------------------------------------------------------------
@@ -157,7 +157,7 @@
     void aBrokenStreamIsResumedAfterItsLastCompleteEvent() throws Exception {
         disableHedging();
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin("/res/");
+        StartedStream stream = begin("/res/");
         stream.server().chunk(event(2) + "id: 3\ndata: half");
         assertEquals(event(2), stream.client().readChunk());
         stream.server().reset();
@@ -168,13 +168,13 @@
         assertEquals(fixture.servers.id(next.server()), targetInstance(next));
         assertNull(kvFrom(next));
         beginStream(next);
-        next.wire().chunk(event(3));
+        next.peer().chunk(event(3));
         assertEquals(event(3), stream.client().readChunk());
-        next.wire().chunk(event(4));
-        next.wire().lastChunk();
+        next.peer().chunk(event(4));
+        next.peer().lastChunk();
         assertEquals(event(4), stream.client().readChunk());
         assertEquals("", stream.client().readChunk());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** A stream is broken if it is reset, closed too early or malformed. */
@@ -183,7 +183,7 @@
     void aStreamIsResumedAfterEveryKindOfBreak(String how) throws Exception {
         disableHedging();
         fixture.servers.decodeServers(4);
-        BegunStream stream = begin("/res/");
+        StartedStream stream = begin("/res/");
         switch (how) {
             case "reset" -> stream.server().reset();
             case "close" -> stream.server().close();
@@ -192,84 +192,84 @@
         Call next = fixture.nextCall();
         assertEquals("1", lastEventId(next), how);
         assertResumed(next, stream.client(), 2);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamThatTheClientResumesIsResumedAfterItsLastEventId() throws Exception {
         fixture.servers.decodeServers(2);
-        Wire client = fixture.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
+        TestPeer client = fixture.sendRequest("/two/", PROMPT + "Last-Event-Id: 12\r\n");
         Call first = fixture.nextCall();
         assertEquals("12", lastEventId(first));
-        first.wire().reset();
+        first.peer().reset();
         Call second = fixture.nextCall();
         assertEquals("12", lastEventId(second));
         beginStream(second);
-        second.wire().chunk(event(13));
+        second.peer().chunk(event(13));
         assertEquals(200, client.readHead().status());
         assertEquals(event(13), client.readChunk());
-        second.wire().reset();
+        second.peer().reset();
         assertAborted(client); // it may resume after event 13
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aBrokenStreamThatIsNotResumableIsAborted() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin("/gen/");
+        StartedStream stream = begin("/gen/");
         stream.server().chunk("id: 2\ndata: half");
         stream.server().reset();
         assertAborted(stream.client());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamThatBreaksBeforeItsFirstEventIsRetriedOnlyIfResumable() throws Exception {
         fixture.servers.decodeServers(2);
-        Wire resumable = fixture.sendRequest("/res/", PROMPT);
+        TestPeer resumable = fixture.sendRequest("/res/", PROMPT);
         Call first = fixture.nextCall();
         beginStream(first);
-        first.wire().chunk("id: 1\nda");
-        first.wire().reset();
+        first.peer().chunk("id: 1\nda");
+        first.peer().reset();
         Call second = fixture.nextCall();
         assertNull(lastEventId(second));
         assertStreamed(second, resumable, 1);
-        Wire once = fixture.sendRequest("/gen/", PROMPT);
+        TestPeer once = fixture.sendRequest("/gen/", PROMPT);
         Call decodeCall = fixture.nextCall();
         beginStream(decodeCall);
-        decodeCall.wire().chunk("id: 1\nda");
-        decodeCall.wire().reset();
+        decodeCall.peer().chunk("id: 1\nda");
+        decodeCall.peer().reset();
         assertEquals(502, once.read().status());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStreamIsResumedOnlyWithinMaxAttempts() throws Exception {
         fixture.servers.decodeServers(3);
-        BegunStream stream = begin("/two/");
+        StartedStream stream = begin("/two/");
         stream.server().reset();
         Call next = fixture.nextCall();
         beginStream(next);
-        next.wire().chunk(event(2));
+        next.peer().chunk(event(2));
         assertEquals(event(2), stream.client().readChunk());
-        next.wire().reset();
+        next.peer().reset();
         assertAborted(stream.client());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aRejectedResumptionIsRetriedAndAFailedOneIsAborted() throws Exception {
         disableHedging();
         fixture.servers.decodeServers(3);
-        BegunStream stream = begin("/res/");
+        StartedStream stream = begin("/res/");
         stream.server().reset();
         Call second = fixture.nextCall();
         reject(second);
         Call third = fixture.nextCall();
         assertEquals("1", lastEventId(third));
-        answer(third, "500 Internal Server Error", SEAL, "broken");
+        respond(third, "500 Internal Server Error", SEAL, "broken");
         assertAborted(stream.client());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -277,10 +277,10 @@
         try (ForwarderFixture withoutRetries =
                 fixtureBuilder().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
             withoutRetries.servers.decodeServers(2);
-            BegunStream stream = BegunStream.begin(withoutRetries, "/res/", PROMPT);
+            StartedStream stream = StartedStream.start(withoutRetries, "/res/", PROMPT);
             stream.server().reset();
             assertAborted(stream.client());
-            withoutRetries.assertQuiet();
+            withoutRetries.assertNoOpenRequests();
         }
     }
 
@@ -289,61 +289,61 @@
     @Test
     void aStalledStreamIsResumedAtAnotherServer() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(fixture, "/res/", PROMPT);
+        StartedStream stream = StartedStream.start(fixture, "/res/", PROMPT);
         Call next = fixture.nextCall();
-        stream.server().awaitEnd();
+        stream.server().awaitClose();
         assertNotSame(stream.decode().server(), next.server());
         assertEquals("1", lastEventId(next));
         assertResumed(next, stream.client(), 2);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     /** The longer timeout that allows for prefill applies only until the first event. */
     @Test
     void aStartedStreamOfALongPromptIsResumedAfterTheUsualStallTimeout() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin("/res/");
-        fixture.pass(2 * PAST_STALL_TIMEOUT_MS);
+        StartedStream stream = begin("/res/");
+        fixture.waitOnLoop(2 * PAST_STALL_TIMEOUT_MS);
         assertFalse(isInFlight(fixture, stream), "the stalled attempt was not cancelled");
-        stream.server().awaitEnd();
+        stream.server().awaitClose();
         assertEquals("1", fixture.nextCall().message().header("Last-Event-Id"));
     }
 
     /** Whether the forwarder has an attempt in flight at the stream's server; available before the connection ends. */
-    private static boolean isInFlight(ForwarderFixture fixture, BegunStream stream) throws Exception {
+    private static boolean isInFlight(ForwarderFixture fixture, StartedStream stream) throws Exception {
         String instance = fixture.servers.id(stream.decode().server());
         return OnLoop.get(fixture.loop, () -> fixture.metadata.servers(MODEL).stream()
                 .anyMatch(server -> server.instanceId().equals(instance) && server.inFlight() > 0));
     }
 
-    private void assertAttemptContinues(ForwarderFixture fixture, BegunStream stream) throws Exception {
-        fixture.pass(PAST_STALL_TIMEOUT_MS);
+    private void assertAttemptContinues(ForwarderFixture fixture, StartedStream stream) throws Exception {
+        fixture.waitOnLoop(PAST_STALL_TIMEOUT_MS);
         assertTrue(isInFlight(fixture, stream), "the only attempt that can continue was cancelled");
-        assertFalse(stream.server().isEnded(), "the only attempt that can continue was cancelled");
+        assertFalse(stream.server().isClosedByPeer(), "the only attempt that can continue was cancelled");
         stream.server().chunk(event(2));
         stream.server().lastChunk();
         assertEquals(event(2), stream.client().readChunk());
         assertEquals("", stream.client().readChunk());
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aStalledStreamThatIsNotResumableContinues() throws Exception {
         fixture.servers.decodeServers(2);
-        assertAttemptContinues(fixture, BegunStream.begin(fixture, "/gen/", PROMPT));
+        assertAttemptContinues(fixture, StartedStream.start(fixture, "/gen/", PROMPT));
     }
 
     @Test
     void aStalledStreamAtItsLastAttemptContinues() throws Exception {
         fixture.servers.decodeServers(2);
-        assertAttemptContinues(fixture, BegunStream.begin(fixture, "/last/", PROMPT));
+        assertAttemptContinues(fixture, StartedStream.start(fixture, "/last/", PROMPT));
     }
 
     /** A stalled decode is not cancelled if no other server can resume it. */
     @Test
     void aStalledStreamThatNoOtherServerCanResumeContinues() throws Exception {
         fixture.servers.decode();
-        assertAttemptContinues(fixture, BegunStream.begin(fixture, "/res/", PROMPT));
+        assertAttemptContinues(fixture, StartedStream.start(fixture, "/res/", PROMPT));
     }
 
     @Test
@@ -351,26 +351,26 @@
         try (ForwarderFixture withoutRetries =
                 fixtureBuilder().retryLimits(ForwarderFixture.NO_RETRIES).start()) {
             withoutRetries.servers.decodeServers(2);
-            assertAttemptContinues(withoutRetries, BegunStream.begin(withoutRetries, "/res/", PROMPT));
+            assertAttemptContinues(withoutRetries, StartedStream.start(withoutRetries, "/res/", PROMPT));
         }
     }
 
     // ---- deadlines and disconnects -------------------------------------------------------------------
 
     /** Sends the request again if the machine is too slow to relay an event before the deadline. */
-    private BegunStream beginBeforeDeadline(String target) throws Exception {
+    private StartedStream beginBeforeDeadline(String target) throws Exception {
         for (int sends = 0; sends < ForwarderFixture.MAX_SENDS; sends++) {
             ForwarderFixture.InFlight request = fixture.sendUntilAtServer(target, PROMPT);
             try {
                 beginStream(request.call());
-                request.call().wire().chunk(event(1));
+                request.call().peer().chunk(event(1));
             } catch (IOException e) {
                 // the connection was closed at the deadline
             }
-            Wire.Message head = request.client().readHead();
+            TestPeer.Message head = request.client().readHead();
             if (head.status() == 200) {
                 assertEquals(event(1), request.client().readChunk());
-                return new BegunStream(request.client(), request.call(), head);
+                return new StartedStream(request.client(), request.call(), head);
             }
             assertEquals(504, head.status());
         }
@@ -380,57 +380,57 @@
     @Test
     void aStreamAtItsDeadlineIsAbortedWithoutASecondHead() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = beginBeforeDeadline("/brief/");
+        StartedStream stream = beginBeforeDeadline("/brief/");
         assertAborted(stream.client());
-        stream.server().awaitEnd();
-        fixture.assertQuiet();
+        stream.server().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @TestOnResumableAndNonResumableRoutes
     void aClientThatDisconnectsWithinItsStreamCancelsIt(String target) throws Exception {
         disableHedging();
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin(target);
+        StartedStream stream = begin(target);
         stream.client().close();
-        stream.server().awaitEnd();
-        fixture.assertQuiet();
+        stream.server().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     /** The client's disconnect and the server's reset arrive at the same time and are handled in either order. */
     @Test
     void aClientsDisconnectThatRacesWithAServersResetLeavesNothingOpen() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin("/res/");
+        StartedStream stream = begin("/res/");
         OnLoop.run(fixture.loop, () -> {
             stream.client().reset();
             stream.server().reset();
         });
         fixture.awaitNoOpenRequest();
         while (!fixture.servers.calls.isEmpty()) {
-            fixture.nextCall().wire().awaitEnd();
+            fixture.nextCall().peer().awaitClose();
         }
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void aClientThatDisconnectsDuringResumptionCancelsIt() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = begin("/res/");
+        StartedStream stream = begin("/res/");
         stream.server().reset();
         Call next = fixture.nextCall();
         stream.client().close();
-        next.wire().awaitEnd();
-        fixture.assertQuiet();
+        next.peer().awaitClose();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
     void theConnectionOfACompleteStreamIsReused() throws Exception {
         fixture.servers.decode();
-        BegunStream stream = begin("/gen/");
+        StartedStream stream = begin("/gen/");
         stream.assertEnds();
-        fixture.pass(30);
+        fixture.waitOnLoop(30);
         stream.client().send(request("/gen/", PROMPT, ""));
         Call next = fixture.nextCall();
-        assertSame(stream.server(), next.wire());
+        assertSame(stream.server(), next.peer());
     }
 }
--- a/dataplane/src/test/java/dewplank/dataplane/TenantNameTest.java
+++ b/dataplane/src/test/java/dewplank/dataplane/TenantNameTest.java
@@ -9,8 +9,8 @@
 import static dewplank.dataplane.Expectations.assertResumed;
 import static dewplank.dataplane.Expectations.assertServed;
 import static dewplank.dataplane.Expectations.assertStreamed;
-import static dewplank.dataplane.ServerAnswers.handOver;
-import static dewplank.dataplane.ServerAnswers.reject;
+import static dewplank.dataplane.ServerResponses.reject;
+import static dewplank.dataplane.ServerResponses.respondWithKvHandle;
 import static dewplank.dataplane.TestRoute.safeRoute;
 import static dewplank.dataplane.TestRoute.streamingRoute;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewplank.exchange.ScriptedServer.Call;
-import dewplank.exchange.Wire;
+import dewplank.exchange.TestPeer;
 import java.io.IOException;
 import java.util.Set;
 import org.junit.jupiter.api.AfterEach;
@@ -91,10 +91,10 @@
 
     /** Serves a request on a plain route and returns its only call to a server. */
     private Call serve(String target, String fields) throws Exception {
-        Wire client = fixture.sendRequest(target, fields);
+        TestPeer client = fixture.sendRequest(target, fields);
         Call call = fixture.nextCall();
         assertServed(call, client, "");
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         return call;
     }
 
@@ -105,15 +105,15 @@
     private Generation serveGeneration(String fields, Change betweenCalls) throws Exception {
         fixture.servers.prefill();
         fixture.servers.decode();
-        Wire client = fixture.sendRequest("/gen/", PROMPT + fields);
+        TestPeer client = fixture.sendRequest("/gen/", PROMPT + fields);
         Call prefill = fixture.nextCall();
         assertEquals("prefill", stage(prefill));
         betweenCalls.apply();
-        handOver(prefill, "h");
+        respondWithKvHandle(prefill, "h");
         Call decode = fixture.nextCall();
         assertNull(stage(decode));
         assertStreamed(decode, client, 1);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
         return new Generation(prefill, decode);
     }
 
@@ -189,7 +189,7 @@
     @Test
     void aRetryAfterAReassignmentOfItsKeyHasAnAllowedTenant() throws Exception {
         fixture.servers.plainServers(2);
-        Wire client = fixture.sendRequest("/safe/", KEY);
+        TestPeer client = fixture.sendRequest("/safe/", KEY);
         Call rejected = fixture.nextCall();
         reassignKey();
         reject(rejected);
@@ -197,7 +197,7 @@
         assertServed(retry, client, "");
         assertHasAnAllowedTenant(retry);
         assertOmitsKey(retry);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 
     @Test
@@ -226,13 +226,13 @@
     @Test
     void aResumedStreamHasTheTenantAndOmitsTheKey() throws Exception {
         fixture.servers.decodeServers(2);
-        BegunStream stream = BegunStream.begin(fixture, "/res/", KEY + BIRCH_NAME_FIELD);
+        StartedStream stream = StartedStream.start(fixture, "/res/", KEY + BIRCH_NAME_FIELD);
         stream.server().close();
         Call resumption = fixture.nextCall();
         assertEquals("1", lastEventId(resumption));
         assertResumed(resumption, stream.client(), 2);
         assertHasTenant(ACME, resumption);
         assertOmitsKey(resumption);
-        fixture.assertQuiet();
+        fixture.assertNoOpenRequests();
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/Arrivals.java
+++ b/emulator/src/main/java/dewplank/emulator/Arrivals.java
@@ -23,7 +23,7 @@
     /** Position of the sidecar's number in an idempotency key; the bits below hold a sequence number. */
     private static final int SIDECAR_SHIFT = 36;
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final Scenario scenario;
     private final int sidecar;
     private final RequestMix mix;
@@ -41,10 +41,15 @@
     private double burstUntilMs;
 
     Arrivals(
-            World world, int sidecar, RequestMix mix, AttemptIds ids, double endMs, Consumer<ClientRequest> onArrival) {
-        RandomStreams streams = world.randomStreams();
-        this.world = world;
-        this.scenario = world.scenario();
+            EmulatedEnvironment environment,
+            int sidecar,
+            RequestMix mix,
+            AttemptIds ids,
+            double endMs,
+            Consumer<ClientRequest> onArrival) {
+        RandomStreams streams = environment.randomStreams();
+        this.environment = environment;
+        this.scenario = environment.scenario();
         this.sidecar = sidecar;
         this.mix = mix;
         this.ids = ids;
@@ -59,27 +64,27 @@
             workByClass[i] = RandomStreams.around(
                     spec.distribution(), spec.cv(), streams.stream("work " + spec.name(), sidecar));
         }
-        this.baseRatePerMs = world.arrivalsPerMs() / scenario.sidecars();
+        this.baseRatePerMs = environment.arrivalsPerMs() / scenario.sidecars();
         this.phase = streams.stream("phase", 0).nextDouble();
-        this.startMs = world.now();
+        this.startMs = environment.now();
     }
 
     /** Schedules the next arrival; each arrival schedules its successor. */
     void scheduleNext() {
         double rate = baseRatePerMs
                 * Math.max(MIN_RATE_FACTOR, rateFactor())
-                * world.tenantTraffic().loadFactor();
+                * environment.tenantTraffic().loadFactor();
         double gapMs = gaps.getAsDouble() / rate;
         if (gapMs > MAX_GAP_MS) {
-            world.schedule(MAX_GAP_MS, () -> {
-                if (world.now() < endMs) {
+            environment.schedule(MAX_GAP_MS, () -> {
+                if (environment.now() < endMs) {
                     scheduleNext();
                 }
             });
             return;
         }
-        world.schedule(gapMs, () -> {
-            if (world.now() < endMs) {
+        environment.schedule(gapMs, () -> {
+            if (environment.now() < endMs) {
                 onArrival.accept(drawRequest());
                 scheduleNext();
             }
@@ -89,14 +94,14 @@
     /** The current rate, as a multiple of the base rate. */
     private double rateFactor() {
         LoadProfile load = scenario.load();
-        double nowMs = world.now() - startMs;
+        double nowMs = environment.now() - startMs;
         double factor =
                 switch (load.shape()) {
                     case STEADY -> 1;
                     case WAVE -> 1 + load.swing() * Math.sin(2 * Math.PI * (nowMs / load.periodMs() + phase));
                     case BURSTS -> burstFactor(load, nowMs);
                 };
-        return factor * world.loadFactor();
+        return factor * environment.loadFactor();
     }
 
     private double burstFactor(LoadProfile load, double nowMs) {
@@ -114,8 +119,8 @@
         long key = ((long) sidecar + 1 << SIDECAR_SHIFT) + ids.next();
         boolean honoursRetryAfter = random.nextDouble() < scenario.clients().honourRetryAfterFraction();
         int tenant = RequestMix.indexAt(
-                subjectRandom.nextDouble(), world.tenantTraffic().cumulativeFractions());
+                subjectRandom.nextDouble(), environment.tenantTraffic().cumulativeFractions());
         int subjectKey = mix.subjectKey(subjectRandom.nextDouble());
-        return new ClientRequest(requestClass, key, work, world.now(), honoursRetryAfter, tenant, subjectKey);
+        return new ClientRequest(requestClass, key, work, environment.now(), honoursRetryAfter, tenant, subjectKey);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/Clients.java
+++ b/emulator/src/main/java/dewplank/emulator/Clients.java
@@ -17,7 +17,7 @@
 public final class Clients {
     /** Sends attempts from clients to their sidecars; implemented by the drivers. */
     public interface SidecarConnector {
-        /** Sends the attempt to its sidecar, and calls {@link Clients#answered} when the attempt has ended. */
+        /** Sends the attempt to its sidecar, and calls {@link Clients#onAttemptEnded} when the attempt has ended. */
         void send(ClientAttempt request);
 
         /** Closes the attempt's connection because the client has stopped waiting. */
@@ -37,7 +37,7 @@
     /** Fraction of the time until the deadline after which an impatient client abandons an attempt. */
     private static final double IMPATIENT_FRACTION = 0.5;
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final SidecarConnector connector;
     private final OutcomeListener listener;
     private final Scenario scenario;
@@ -47,20 +47,20 @@
     private int openRequests;
 
     /** Requests onArrival for the scenario's length, counted from now; {@link #start} starts the arrivals. */
-    public Clients(World world, SidecarConnector connector, OutcomeListener listener) {
-        this.world = world;
+    public Clients(EmulatedEnvironment environment, SidecarConnector connector, OutcomeListener listener) {
+        this.environment = environment;
         this.connector = connector;
         this.listener = listener;
-        this.scenario = world.scenario();
+        this.scenario = environment.scenario();
         this.mix = new RequestMix(scenario);
-        this.endMs = world.now() + scenario.lengthMs();
+        this.endMs = environment.now() + scenario.lengthMs();
     }
 
     /** Starts generating requests for all sidecars. */
     public void start() {
         for (int i = 0; i < scenario.sidecars(); i++) {
             int sidecar = i;
-            new Arrivals(world, sidecar, mix, ids, endMs, request -> onArrival(request, sidecar)).scheduleNext();
+            new Arrivals(environment, sidecar, mix, ids, endMs, request -> onArrival(request, sidecar)).scheduleNext();
         }
     }
 
@@ -77,17 +77,17 @@
     private void sendAttempt(ClientRequest request, int sidecar) {
         ClientBehaviour behaviour = scenario.clients();
         double classDeadlineMs = scenario.classes().get(request.requestClass).deadlineMs();
-        double now = world.now();
+        double now = environment.now();
         double deadlineMs = Math.min(
                 request.firstSentAtMs + classDeadlineMs, now + behaviour.attemptDeadlineFraction() * classDeadlineMs);
         ClientAttempt attempt = request.nextAttempt(ids.next(), sidecar, now, deadlineMs);
-        world.record(Type.SENT, attempt, sidecar, RecordedEvent.NONE, deadlineMs);
+        environment.record(Type.SENT, attempt, sidecar, RecordedEvent.NONE, deadlineMs);
         connector.send(attempt);
         boolean isImpatient = behaviour.abandonFraction() > 0
-                && world.randomStreams().uniform(-attempt.id()) < behaviour.abandonFraction();
+                && environment.randomStreams().uniform(-attempt.id()) < behaviour.abandonFraction();
         double waitMs = (deadlineMs - now) * (isImpatient ? IMPATIENT_FRACTION : 1)
-                + (isImpatient ? 0 : scenario.rules().answerSlackMs() + RESPONSE_SLACK_MS);
-        world.schedule(waitMs, () -> {
+                + (isImpatient ? 0 : scenario.rules().responseSlackMs() + RESPONSE_SLACK_MS);
+        environment.schedule(waitMs, () -> {
             if (!attempt.hasEnded()) {
                 connector.abandon(attempt);
                 endAttempt(attempt, Type.ABANDONED, isImpatient ? 1 : 0);
@@ -101,9 +101,9 @@
      *
      * @param type type of the event to record, with its {@code value}
      */
-    public void answered(ClientAttempt attempt, Type type, double value) {
+    public void onAttemptEnded(ClientAttempt attempt, Type type, double value) {
         if (attempt.hasEnded()) {
-            world.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
+            environment.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
             return;
         }
         endAttempt(attempt, type, value);
@@ -111,14 +111,14 @@
 
     private void endAttempt(ClientAttempt attempt, Type type, double value) {
         attempt.end();
-        world.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
+        environment.record(type, attempt, attempt.sidecar(), RecordedEvent.NONE, value);
         ClientRequest request = attempt.request();
         if (request == null) {
             return;
         }
         double delayMs = retryDelayMs(attempt, request, type, value);
         if (mayRetry(request, type, delayMs)) {
-            world.schedule(delayMs, () -> sendAttempt(request, attempt.sidecar()));
+            environment.schedule(delayMs, () -> sendAttempt(request, attempt.sidecar()));
             return;
         }
         openRequests--;
@@ -126,14 +126,14 @@
                 request.requestClass,
                 request.tenant,
                 request.firstSentAtMs,
-                type == Type.SERVED ? world.now() - request.firstSentAtMs : Double.NaN,
+                type == Type.SERVED ? environment.now() - request.firstSentAtMs : Double.NaN,
                 request.attempts(),
                 type);
     }
 
     private double retryDelayMs(ClientAttempt attempt, ClientRequest request, Type type, double retryAfterMs) {
-        double backoffMs =
-                scenario.clients().backoffMs() * (0.5 + world.randomStreams().uniform(attempt.id()));
+        double backoffMs = scenario.clients().backoffMs()
+                * (0.5 + environment.randomStreams().uniform(attempt.id()));
         if (type == Type.REFUSED && request.honoursRetryAfter && retryAfterMs > 0) {
             return Math.max(backoffMs, Math.min(retryAfterMs, scenario.rules().maxRetryAdviceMs()));
         }
@@ -142,7 +142,7 @@
 
     private boolean mayRetry(ClientRequest request, Type type, double delayMs) {
         RequestClassSpec spec = scenario.classes().get(request.requestClass);
-        double retryAtMs = world.now() + delayMs;
+        double retryAtMs = environment.now() + delayMs;
         if (!isRetryable(request, type, spec)
                 || request.attempts() > scenario.clients().maxRetries()
                 || retryAtMs >= request.firstSentAtMs + spec.deadlineMs() - MIN_RETRY_MS) {
@@ -161,7 +161,7 @@
             default -> spec.idempotency() == Idempotency.SAFE
                     || spec.idempotency() == Idempotency.KEYED
                             && spec.deduplicationScope() == DeduplicationScope.ALL
-                            && world.now() - request.firstSentAtMs < spec.deduplicationWindowMs();
+                            && environment.now() - request.firstSentAtMs < spec.deduplicationWindowMs();
         };
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
+++ b/emulator/src/main/java/dewplank/emulator/ColdLoadLimit.java
@@ -11,15 +11,15 @@
 
     private record OfferedWork(double atMs, double work) {}
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final WarmUp warmUp;
     private final double fullCapacity;
     private final ArrayDeque<OfferedWork> offered = new ArrayDeque<>();
     private double offeredWorkSum;
 
     /** {@code fullCapacity}: work per millisecond that the warm server completes. */
-    ColdLoadLimit(World world, WarmUp warmUp, double fullCapacity) {
-        this.world = world;
+    ColdLoadLimit(EmulatedEnvironment environment, WarmUp warmUp, double fullCapacity) {
+        this.environment = environment;
         this.warmUp = warmUp;
         this.fullCapacity = fullCapacity;
     }
@@ -30,8 +30,8 @@
             clear();
             return false;
         }
-        Rules rules = world.scenario().rules();
-        double now = world.now();
+        Rules rules = environment.scenario().rules();
+        double now = environment.now();
         offered.addLast(new OfferedWork(now, work));
         offeredWorkSum += work;
         while (offered.peekFirst().atMs() < now - rules.collapseWindowMs()) {
@@ -39,7 +39,8 @@
         }
         double limit = rules.collapseFactor() * warmUp.speedFactor() * fullCapacity * rules.collapseWindowMs();
         return offeredWorkSum
-                > World.withStatisticalMargin(limit, world.scenario().meanWork());
+                > EmulatedEnvironment.withStatisticalMargin(
+                        limit, environment.scenario().meanWork());
     }
 
     /** Work offered in the current window. */
--- a/emulator/src/main/java/dewplank/emulator/World.java
+++ b/emulator/src/main/java/dewplank/emulator/EmulatedEnvironment.java
@@ -16,7 +16,7 @@
  * The environment of the sidecars in one run: servers, directory, network, and the effects of requests. All methods
  * must be called on the thread of the {@link Scheduler}.
  */
-public final class World {
+public final class EmulatedEnvironment {
     /** Largest relative deviation of a request's work from server to server. */
     private static final double MAX_WORK_DEVIATION = 0.15;
     /** Lower bound of a server's speed, as a fraction of its machine type's speed. */
@@ -45,7 +45,7 @@
     private int poisonClass = RecordedEvent.NONE;
 
     /** {@code recorder} receives each event when it occurs, on the scheduler thread. */
-    public World(Scenario scenario, long seed, Scheduler time, RecordedEvent.Recorder recorder) {
+    public EmulatedEnvironment(Scenario scenario, long seed, Scheduler time, RecordedEvent.Recorder recorder) {
         this.scenario = scenario;
         this.randomStreams = new RandomStreams(seed);
         this.time = time;
@@ -160,7 +160,7 @@
     }
 
     /** Draws the one-way delay of a message between a sidecar and a server, in milliseconds. */
-    public double delay(int sidecar, Server server) {
+    public double drawDelayMs(int sidecar, Server server) {
         return network.drawDelayMs(sidecar, server);
     }
 
@@ -170,7 +170,7 @@
     }
 
     /** Draws the delay of a datagram between two sidecars, in milliseconds; negative if it is lost. */
-    public double messageDelay() {
+    public double drawPeerDelayMs() {
         return network.drawPeerDelayMs();
     }
 
@@ -180,7 +180,7 @@
     }
 
     /** Draws whether a message is lost; its connection then stays open, but nothing arrives. */
-    public boolean losesMessage() {
+    public boolean drawMessageLoss() {
         return network.drawLoss();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
+++ b/emulator/src/main/java/dewplank/emulator/EndpointDirectory.java
@@ -27,7 +27,7 @@
         void updated(long version, boolean full, List<Endpoint> endpoints);
 
         /** The call failed, or the directory became unavailable. */
-        void ended();
+        void onClosed();
     }
 
     /** A sidecar's watch on the endpoint list. */
@@ -66,7 +66,7 @@
     /** Time after which a call to an unavailable directory fails. */
     private static final double REFUSAL_DELAY_MS = 1;
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final DirectoryModel model;
     private final Map<Integer, Endpoint> endpointsByServer = new HashMap<>();
     private final List<Change> history = new ArrayList<>();
@@ -79,10 +79,10 @@
     private long calls;
     private long linesSent;
 
-    EndpointDirectory(World world) {
-        this.world = world;
-        this.model = world.scenario().directory();
-        for (Server server : world.servers()) {
+    EndpointDirectory(EmulatedEnvironment environment) {
+        this.environment = environment;
+        this.model = environment.scenario().directory();
+        for (Server server : environment.servers()) {
             endpointsByServer.put(server.number(), endpoint(server, Availability.UP));
         }
     }
@@ -127,7 +127,7 @@
     /** The endpoints that have not been removed, ordered by server number. */
     public List<Endpoint> endpoints() {
         List<Endpoint> listed = new ArrayList<>();
-        for (Server server : world.servers()) {
+        for (Server server : environment.servers()) {
             Endpoint endpoint = endpointsByServer.get(server.number());
             if (endpoint.availability() != Availability.REMOVED) {
                 listed.add(endpoint);
@@ -154,7 +154,7 @@
     /** Schedules the removal of a server whose process has just ended, unless it has restarted by then. */
     void scheduleRemoval(Server server, double afterMs) {
         int incarnation = server.incarnation();
-        world.schedule(afterMs, () -> {
+        environment.schedule(afterMs, () -> {
             if (server.incarnation() == incarnation && server.state() != Server.State.UP) {
                 set(server, Availability.REMOVED);
             }
@@ -164,7 +164,7 @@
     /** Schedules the addition of a server whose process has just started, unless it has ended by then. */
     void scheduleAddition(Server server) {
         int incarnation = server.incarnation();
-        world.schedule(model.startDetectionMs(), () -> {
+        environment.schedule(model.startDetectionMs(), () -> {
             if (server.incarnation() == incarnation && server.state() == Server.State.UP) {
                 set(server, Availability.UP);
             }
@@ -180,14 +180,14 @@
     public Watch watch(int sidecar, long sinceVersion, Watcher watcher) {
         Watch watch = new Watch(sidecar, sinceVersion, watcher);
         calls++;
-        double now = world.now();
+        double now = environment.now();
         double queuedUntilMs = Math.max(now, nextCallAtMs);
         if (isDown || queuedUntilMs - now > model.callTimeoutMs()) {
-            world.schedule(isDown ? REFUSAL_DELAY_MS : model.callTimeoutMs(), () -> end(watch));
+            environment.schedule(isDown ? REFUSAL_DELAY_MS : model.callTimeoutMs(), () -> end(watch));
             return watch;
         }
         nextCallAtMs = queuedUntilMs + 1000 / model.callsPerSecond();
-        world.schedule(nextCallAtMs - now, () -> open(watch));
+        environment.schedule(nextCallAtMs - now, () -> open(watch));
         return watch;
     }
 
@@ -205,13 +205,13 @@
     private void end(Watch watch) {
         if (!watch.isClosed()) {
             watch.close();
-            watch.watcher.ended();
+            watch.watcher.onClosed();
         }
     }
 
     /** Each interval is drawn at random, so that the updates of different watches don't synchronize. */
     private void scheduleUpdate(Watch watch) {
-        world.schedule(world.drawDurationMs(model.updateIntervalMs()), () -> {
+        environment.schedule(environment.drawDurationMs(model.updateIntervalMs()), () -> {
             if (!watch.isClosed()) {
                 sendUpdate(watch, false);
                 scheduleUpdate(watch);
@@ -244,7 +244,7 @@
 
     /** A full update implies that each endpoint that it doesn't list has been removed. */
     private void recordRemoved(int sidecar) {
-        for (Server server : world.servers()) {
+        for (Server server : environment.servers()) {
             Endpoint endpoint = endpointsByServer.get(server.number());
             if (endpoint.availability() == Availability.REMOVED) {
                 record(sidecar, endpoint);
@@ -253,13 +253,13 @@
     }
 
     private void record(int sidecar, Endpoint endpoint) {
-        int server = world.server(endpoint.server()).orElseThrow().number();
+        int server = environment.server(endpoint.server()).orElseThrow().number();
         switch (endpoint.availability()) {
-            case DRAINING -> world.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
-            case REMOVED -> world.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
+            case DRAINING -> environment.record(Type.NOTIFIED_DRAINING, null, sidecar, server, 0);
+            case REMOVED -> environment.record(Type.NOTIFIED_REMOVED, null, sidecar, server, 0);
             default -> {
                 if (endpoint.startedAtMs() != null) { // slow start applies only to processes started in the run
-                    world.record(Type.NOTIFIED_UP, null, sidecar, server, endpoint.startedAtMs());
+                    environment.record(Type.NOTIFIED_UP, null, sidecar, server, endpoint.startedAtMs());
                 }
             }
         }
--- a/emulator/src/main/java/dewplank/emulator/FaultInjector.java
+++ b/emulator/src/main/java/dewplank/emulator/FaultInjector.java
@@ -35,24 +35,24 @@
     /** Tolerance for floating-point error when a fraction of a list is rounded up. */
     private static final double ROUNDING = 1e-9;
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final Scenario scenario;
     private final SidecarKiller sidecarKiller;
 
-    private FaultInjector(World world, SidecarKiller sidecarKiller) {
-        this.world = world;
-        this.scenario = world.scenario();
+    private FaultInjector(EmulatedEnvironment environment, SidecarKiller sidecarKiller) {
+        this.environment = environment;
+        this.scenario = environment.scenario();
         this.sidecarKiller = sidecarKiller;
     }
 
     /** Schedules all faults of the scenario, with times relative to now. */
-    public static void schedule(World world, SidecarKiller sidecarKiller) {
-        FaultInjector injector = new FaultInjector(world, sidecarKiller);
-        List<Fault> faults = world.scenario().faults();
+    public static void schedule(EmulatedEnvironment environment, SidecarKiller sidecarKiller) {
+        FaultInjector injector = new FaultInjector(environment, sidecarKiller);
+        List<Fault> faults = environment.scenario().faults();
         for (int i = 0; i < faults.size(); i++) {
             Fault fault = faults.get(i);
-            UniformRandomProvider random = world.randomStreams().stream("fault", i);
-            world.schedule(fault.atMs(), () -> injector.inject(fault, random));
+            UniformRandomProvider random = environment.randomStreams().stream("fault", i);
+            environment.schedule(fault.atMs(), () -> injector.inject(fault, random));
         }
     }
 
@@ -69,18 +69,20 @@
                     RESETS,
                     ERRORS -> injectIntoServers(fault, random);
             case CUT -> partition(fault, random);
-            case LOSS -> applyTemporarily(fault, world.network()::setLossRate, 0);
+            case LOSS -> applyTemporarily(fault, environment.network()::setLossRate, 0);
             case POISON -> injectPoison(fault);
-            case LOAD -> applyTemporarily(fault, world::setLoadFactor, 1);
+            case LOAD -> applyTemporarily(fault, environment::setLoadFactor, 1);
             case TENANT_LOAD -> changeTenantLoad(fault);
             case ZONE_LOSS -> failZone(fault, random);
             case DIRECTORY_DOWN -> {
-                world.directory().setDown(true);
-                world.schedule(fault.durationMs(), () -> world.directory().setDown(false));
+                environment.directory().setDown(true);
+                environment.schedule(
+                        fault.durationMs(), () -> environment.directory().setDown(false));
             }
             case DIRECTORY_SILENT -> {
-                world.directory().setStalled(true);
-                world.schedule(fault.durationMs(), () -> world.directory().setStalled(false));
+                environment.directory().setStalled(true);
+                environment.schedule(
+                        fault.durationMs(), () -> environment.directory().setStalled(false));
             }
             case SIDECAR_KILL -> drawNumbers(scenario.sidecars(), fault.affectedFraction(), random)
                     .forEach(sidecar -> sidecarKiller.kill(sidecar, fault.durationMs()));
@@ -90,7 +92,7 @@
     private void injectIntoServers(Fault fault, UniformRandomProvider random) {
         List<Server> affected = drawServers(fault.affectedFraction(), random);
         double magnitude = fault.magnitude();
-        double endMs = world.now() + fault.durationMs();
+        double endMs = environment.now() + fault.durationMs();
         switch (fault.kind()) {
             case CRASH -> affected.forEach(server -> crash(server, fault.durationMs()));
             case VANISH -> affected.forEach(server -> vanish(server, fault.durationMs()));
@@ -125,8 +127,8 @@
     // ---- selection of targets -------------------------------------------------------------------------
 
     private List<Server> drawServers(double fraction, UniformRandomProvider random) {
-        return drawNumbers(world.servers().size(), fraction, random).stream()
-                .map(world.servers()::get)
+        return drawNumbers(environment.servers().size(), fraction, random).stream()
+                .map(environment.servers()::get)
                 .toList();
     }
 
@@ -155,27 +157,27 @@
     /** Sets a value to the fault's magnitude, and resets it to its base value when the fault ends. */
     private void applyTemporarily(Fault fault, Setting setting, double baseValue) {
         setting.set(fault.magnitude());
-        world.schedule(fault.durationMs(), () -> setting.set(baseValue));
+        environment.schedule(fault.durationMs(), () -> setting.set(baseValue));
     }
 
     private void applyTemporarily(Fault fault, List<Server> affected, Consumer<Server> begin, Consumer<Server> end) {
         affected.forEach(begin);
-        world.schedule(fault.durationMs(), () -> affected.forEach(end));
+        environment.schedule(fault.durationMs(), () -> affected.forEach(end));
     }
 
     private void pause(Fault fault, List<Server> affected, double endMs) {
-        if (world.now() < endMs) {
+        if (environment.now() < endMs) {
             affected.forEach(server -> server.pause(fault.magnitude()));
-            world.schedule(fault.intervalMs(), () -> pause(fault, affected, endMs));
+            environment.schedule(fault.intervalMs(), () -> pause(fault, affected, endMs));
         }
     }
 
     private void toggleNeighbour(Fault fault, List<Server> affected, double endMs, boolean isBusy) {
-        boolean hasEnded = world.now() >= endMs;
+        boolean hasEnded = environment.now() >= endMs;
         double fraction = isBusy && !hasEnded ? Math.min(MAX_NEIGHBOUR_FRACTION, fault.magnitude()) : 0;
         affected.forEach(server -> server.setNeighbourFraction(fraction));
         if (!hasEnded) {
-            world.schedule(fault.intervalMs(), () -> toggleNeighbour(fault, affected, endMs, !isBusy));
+            environment.schedule(fault.intervalMs(), () -> toggleNeighbour(fault, affected, endMs, !isBusy));
         }
     }
 
@@ -189,8 +191,8 @@
     }
 
     private void injectPoison(Fault fault) {
-        world.setPoison(classIndex(fault), fault.magnitude());
-        world.schedule(fault.durationMs(), () -> world.setPoison(RecordedEvent.NONE, 0));
+        environment.setPoison(classIndex(fault), fault.magnitude());
+        environment.schedule(fault.durationMs(), () -> environment.setPoison(RecordedEvent.NONE, 0));
     }
 
     private int classIndex(Fault fault) {
@@ -202,20 +204,20 @@
                 .map(TenantLoad::name)
                 .toList();
         int tenant = names.indexOf(fault.target().orElseThrow());
-        applyTemporarily(fault, factor -> world.tenantTraffic().setFactor(tenant, factor), 1);
+        applyTemporarily(fault, factor -> environment.tenantTraffic().setFactor(tenant, factor), 1);
     }
 
     private void partition(Fault fault, UniformRandomProvider random) {
         List<Server> affected = drawServers(fault.affectedFraction(), random);
         List<Integer> sidecars = drawNumbers(scenario.sidecars(), Math.min(1, fault.magnitude()), random);
         setPartitioned(affected, sidecars, true);
-        world.schedule(fault.durationMs(), () -> setPartitioned(affected, sidecars, false));
+        environment.schedule(fault.durationMs(), () -> setPartitioned(affected, sidecars, false));
     }
 
     private void setPartitioned(List<Server> servers, List<Integer> sidecars, boolean isPartitioned) {
         for (Server server : servers) {
             for (int sidecar : sidecars) {
-                world.network().setPartitioned(sidecar, server.number(), isPartitioned);
+                environment.network().setPartitioned(sidecar, server.number(), isPartitioned);
             }
         }
     }
@@ -225,16 +227,16 @@
     private void crash(Server server, double restartAfterMs) {
         if (server.state() == State.UP) {
             server.crash();
-            world.scheduleCrashDetection(server);
-            world.restart(server, restartAfterMs);
+            environment.scheduleCrashDetection(server);
+            environment.restart(server, restartAfterMs);
         }
     }
 
     private void vanish(Server server, double restartAfterMs) {
         if (server.state() == State.UP) {
             server.vanish();
-            world.scheduleVanishDetection(server);
-            world.restart(server, restartAfterMs);
+            environment.scheduleVanishDetection(server);
+            environment.restart(server, restartAfterMs);
         }
     }
 
@@ -242,7 +244,7 @@
     private void failZone(Fault fault, UniformRandomProvider random) {
         List<String> zones = scenario.zones();
         String zone = zones.get(random.nextInt(zones.size()));
-        world.servers().stream()
+        environment.servers().stream()
                 .filter(server -> server.zone().equals(zone))
                 .forEach(server -> vanish(server, fault.durationMs()));
         List<Integer> sidecars = IntStream.range(0, scenario.sidecars())
@@ -257,8 +259,8 @@
 
     /** Replaces the servers in batches: each server is drained, stopped and restarted cold. */
     private void deploy(Fault fault, List<Server> order, int from) {
-        int batchSize =
-                Math.max(1, (int) Math.round(fault.magnitude() * world.servers().size()));
+        int batchSize = Math.max(
+                1, (int) Math.round(fault.magnitude() * environment.servers().size()));
         List<Server> batch = order.subList(Math.min(from, order.size()), Math.min(from + batchSize, order.size()));
         if (batch.isEmpty()) {
             return;
@@ -266,7 +268,7 @@
         batch.forEach(server -> replaceServer(server, fault.intervalMs()));
         int batches = (order.size() + batchSize - 1) / batchSize;
         double batchIntervalMs = Math.max(MIN_BATCH_INTERVAL_MS, fault.durationMs() / batches);
-        world.schedule(batchIntervalMs, () -> deploy(fault, order, from + batchSize));
+        environment.schedule(batchIntervalMs, () -> deploy(fault, order, from + batchSize));
     }
 
     /** Lists the server as draining first; its process starts to drain once the sidecars have been notified. */
@@ -275,19 +277,19 @@
             return;
         }
         int incarnation = server.incarnation();
-        world.directory().set(server, Availability.DRAINING);
+        environment.directory().set(server, Availability.DRAINING);
         double notificationMs =
                 scenario.directory().updateIntervalMs() * 2 + scenario.rules().drainMs();
-        world.schedule(Math.min(notificationMs, drainMs), () -> {
+        environment.schedule(Math.min(notificationMs, drainMs), () -> {
             if (server.incarnation() == incarnation) {
                 server.drain();
             }
         });
-        world.schedule(drainMs + STOP_DELAY_AFTER_DRAIN_MS, () -> {
+        environment.schedule(drainMs + STOP_DELAY_AFTER_DRAIN_MS, () -> {
             if (server.incarnation() == incarnation && server.state() == State.DRAINING) {
                 server.crash();
-                world.directory().set(server, Availability.REMOVED);
-                world.restart(server, DEPLOY_RESTART_DELAY_MS);
+                environment.directory().set(server, Availability.REMOVED);
+                environment.restart(server, DEPLOY_RESTART_DELAY_MS);
             }
         });
     }
--- a/emulator/src/main/java/dewplank/emulator/JobScheduler.java
+++ b/emulator/src/main/java/dewplank/emulator/JobScheduler.java
@@ -21,7 +21,7 @@
         void onFinished(ServerJob job);
     }
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final int slots;
     private final int maxQueued;
     private final DoubleSupplier waitTimes;
@@ -33,16 +33,21 @@
     private final Set<ServerJob> waitingOnDependencies = new HashSet<>();
 
     /** {@code waitTimes}: samples with mean 1, by which a class's mean wait on dependencies is multiplied. */
-    JobScheduler(World world, MachineType machine, DoubleSupplier waitTimes, ServerSpeed speed, Listener listener) {
-        this.world = world;
+    JobScheduler(
+            EmulatedEnvironment environment,
+            MachineType machine,
+            DoubleSupplier waitTimes,
+            ServerSpeed speed,
+            Listener listener) {
+        this.environment = environment;
         this.slots = (int) Math.max(1, Math.round(machine.cores() * machine.slotsPerCore()));
         this.maxQueued = (int) Math.round(machine.cores() * machine.queuePerCore());
         this.waitTimes = waitTimes;
         this.speed = speed;
         this.listener = listener;
-        this.processors = new ProcessorSharing(world, machine.cores(), speed, this::advance);
+        this.processors = new ProcessorSharing(environment, machine.cores(), speed, this::advance);
         this.overload = new OverloadMonitor(
-                world, machine.overloadSlowdown(), machine.cores(), this::size, this::onSlowdownChanged);
+                environment, machine.overloadSlowdown(), machine.cores(), this::size, this::onSlowdownChanged);
     }
 
     /** Number of jobs in slots and in the queue. */
@@ -119,13 +124,13 @@
     /** Handles a job whose work is done: if its class waits on dependencies, it keeps its slot but uses no core. */
     private void waitOrFinish(ServerJob job) {
         double meanWaitMs =
-                world.scenario().classes().get(job.request.requestClass()).waitMs();
+                environment.scenario().classes().get(job.request.requestClass()).waitMs();
         if (meanWaitMs <= 0) {
             listener.onFinished(job);
             return;
         }
         waitingOnDependencies.add(job);
-        world.schedule(meanWaitMs * waitTimes.getAsDouble(), () -> {
+        environment.schedule(meanWaitMs * waitTimes.getAsDouble(), () -> {
             if (waitingOnDependencies.remove(job)) {
                 listener.onFinished(job);
                 advance();
--- a/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
+++ b/emulator/src/main/java/dewplank/emulator/OverloadMonitor.java
@@ -30,7 +30,7 @@
         }
     }
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final OverloadSlowdown rules;
     private final double maxInFlight;
     private final IntSupplier requestsInFlight;
@@ -42,12 +42,12 @@
 
     /** {@code onSlowdownChanged} is called with true when the slowdown starts, and with false when it ends. */
     OverloadMonitor(
-            World world,
+            EmulatedEnvironment environment,
             OverloadSlowdown rules,
             int cores,
             IntSupplier requestsInFlight,
             Consumer<Boolean> onSlowdownChanged) {
-        this.world = world;
+        this.environment = environment;
         this.rules = rules;
         this.maxInFlight = rules.maxRequestsPerCore() * cores;
         this.requestsInFlight = requestsInFlight;
@@ -70,7 +70,7 @@
             case NORMAL -> {
                 if (isOverloaded) {
                     enter(Phase.OVERLOADED);
-                    world.schedule(rules.triggerMs(), this::update);
+                    environment.schedule(rules.triggerMs(), this::update);
                 }
             }
             case OVERLOADED -> {
@@ -83,7 +83,7 @@
             case SLOWED_DOWN -> {
                 if (!isTooBusyToRecover) {
                     enter(Phase.RECOVERING);
-                    world.schedule(rules.recoveryMs(), this::update);
+                    environment.schedule(rules.recoveryMs(), this::update);
                 }
             }
             case RECOVERING -> {
@@ -97,7 +97,7 @@
     }
 
     private boolean hasLasted(double durationMs) {
-        return world.now() - phaseSinceMs >= durationMs - ROUNDING_MS;
+        return environment.now() - phaseSinceMs >= durationMs - ROUNDING_MS;
     }
 
     private void enter(Phase next) {
@@ -105,15 +105,17 @@
             throw new IllegalStateException(phase + " cannot become " + next);
         }
         phase = next;
-        phaseSinceMs = world.now();
+        phaseSinceMs = environment.now();
     }
 
     private void slowDown() {
         enter(Phase.SLOWED_DOWN);
-        slowedDownAtMs = world.now();
+        slowedDownAtMs = environment.now();
         int process = processes;
-        world.schedule(rules.maxMs(), () -> {
-            if (isSlowedDown() && process == processes && world.now() - slowedDownAtMs >= rules.maxMs() - ROUNDING_MS) {
+        environment.schedule(rules.maxMs(), () -> {
+            if (isSlowedDown()
+                    && process == processes
+                    && environment.now() - slowedDownAtMs >= rules.maxMs() - ROUNDING_MS) {
                 recover();
             }
         });
--- a/emulator/src/main/java/dewplank/emulator/ProcessorSharing.java
+++ b/emulator/src/main/java/dewplank/emulator/ProcessorSharing.java
@@ -18,7 +18,7 @@
     /** Shortest delay until the speed of a paused server is evaluated again. */
     private static final double MIN_PAUSE_CHECK_MS = 0.1;
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final int cores;
     private final ServerSpeed speed;
     private final Runnable onProgress;
@@ -30,8 +30,8 @@
     private long planNumber;
 
     /** {@code onProgress} runs when a job may be done or the speed must be evaluated again. */
-    ProcessorSharing(World world, int cores, ServerSpeed speed, Runnable onProgress) {
-        this.world = world;
+    ProcessorSharing(EmulatedEnvironment environment, int cores, ServerSpeed speed, Runnable onProgress) {
+        this.environment = environment;
         this.cores = cores;
         this.speed = speed;
         this.onProgress = onProgress;
@@ -43,7 +43,7 @@
 
     /** Remaining work of the running jobs at the current time. */
     double remainingWork() {
-        double attained = attainedWork + (world.now() - updatedAtMs) * workPerMs;
+        double attained = attainedWork + (environment.now() - updatedAtMs) * workPerMs;
         double sum = 0;
         for (ServerJob job : running) {
             sum += Math.max(0, job.remainingWork(attained));
@@ -53,7 +53,7 @@
 
     /** Advances the attained service to the current time, at the planned speed. */
     void update() {
-        double now = world.now();
+        double now = environment.now();
         if (!running.isEmpty() && now > updatedAtMs) {
             attainedWork += (now - updatedAtMs) * workPerMs;
         }
@@ -92,9 +92,9 @@
         }
         workPerMs = speed.workPerCoreMs() * Math.min(1, (double) cores / running.size());
         double nextMs = workPerMs <= 0
-                ? Math.max(MIN_PAUSE_CHECK_MS, speed.pausedUntilMs() - world.now())
+                ? Math.max(MIN_PAUSE_CHECK_MS, speed.pausedUntilMs() - environment.now())
                 : running.peek().remainingWork(attainedWork) / workPerMs;
-        world.schedule(speed.isWarm() ? nextMs : Math.min(nextMs, COLD_SPEED_INTERVAL_MS), () -> {
+        environment.schedule(speed.isWarm() ? nextMs : Math.min(nextMs, COLD_SPEED_INTERVAL_MS), () -> {
             if (plan == planNumber) {
                 onProgress.run();
             }
--- a/emulator/src/main/java/dewplank/emulator/Server.java
+++ b/emulator/src/main/java/dewplank/emulator/Server.java
@@ -51,7 +51,7 @@
         }
     }
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final int number;
     private final String id;
     private final String zone;
@@ -73,22 +73,22 @@
     private final Set<Integer> vanishedIncarnations = new HashSet<>();
 
     /** {@code baseSpeed}: work per millisecond that a core completes when warm. */
-    Server(World world, int number, MachineType machine, String zone, double baseSpeed) {
-        Scenario scenario = world.scenario();
-        this.world = world;
+    Server(EmulatedEnvironment environment, int number, MachineType machine, String zone, double baseSpeed) {
+        Scenario scenario = environment.scenario();
+        this.environment = environment;
         this.number = number;
         this.id = "s-" + Long.toHexString(RandomStreams.mix(number) >>> 32);
         this.machine = machine;
         this.zone = zone;
         this.cell = number / scenario.servers().cellSize();
-        this.random = world.randomStreams().stream("server", number);
+        this.random = environment.randomStreams().stream("server", number);
         this.connections = new ConnectionTable(scenario.connections());
-        this.warmUp = new WarmUp(world, machine);
-        this.speed = new ServerSpeed(world, machine, baseSpeed, warmUp, connections);
+        this.warmUp = new WarmUp(environment, machine);
+        this.speed = new ServerSpeed(environment, machine, baseSpeed, warmUp, connections);
         this.jobs = new JobScheduler(
-                world,
+                environment,
                 machine,
-                RandomStreams.exponential(world.randomStreams().stream("waits", number)),
+                RandomStreams.exponential(environment.randomStreams().stream("waits", number)),
                 speed,
                 new JobScheduler.Listener() {
                     @Override
@@ -101,7 +101,7 @@
                         finish(job);
                     }
                 });
-        this.coldLoadLimit = new ColdLoadLimit(world, warmUp, fullCapacity());
+        this.coldLoadLimit = new ColdLoadLimit(environment, warmUp, fullCapacity());
         this.keyCache = new KeyCache(scenario.tenantsAndKeys().keys(), machine.cores());
         this.loadReporter = new LoadReporter(scenario.loadReports(), random);
         this.faultRates = new FaultRates(machine, scenario.classes().size(), random);
@@ -112,7 +112,7 @@
 
     // ---- actual state, for the oracle, the tests and the drivers --------------------------------------
 
-    /** Index of the server in {@link World#servers()}. */
+    /** Index of the server in {@link EmulatedEnvironment#servers()}. */
     public int number() {
         return number;
     }
@@ -183,7 +183,7 @@
             return Double.POSITIVE_INFINITY;
         }
         double sharing = Math.max(1, (double) (requestsInFlight() + inTransit + 1) / machine.cores());
-        double meanWork = world.scenario().meanWork();
+        double meanWork = environment.scenario().meanWork();
         return Math.max(
                 work * machine.cores() / capacity * sharing, (backlog() + inTransit * meanWork + work) / capacity);
     }
@@ -200,7 +200,7 @@
             return false;
         }
         connections.add();
-        jobs.delayBy(world.scenario().connections().handshakeWork());
+        jobs.delayBy(environment.scenario().connections().handshakeWork());
         return true;
     }
 
@@ -227,9 +227,9 @@
             handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
             return;
         }
-        double savedFraction = keyCache.use(request.subjectKey(), world.now());
-        double work = request.work() * World.workFactor(request, number) * (1 - savedFraction);
-        world.record(Type.RECEIVED, request, sidecar, number, work);
+        double savedFraction = keyCache.use(request.subjectKey(), environment.now());
+        double work = request.work() * EmulatedEnvironment.workFactor(request, number) * (1 - savedFraction);
+        environment.record(Type.RECEIVED, request, sidecar, number, work);
         jobs.update();
         if (coldLoadLimit.isExceededBy(classOf(request).work())) {
             collapse();
@@ -237,7 +237,7 @@
         } else if (faultRates.drawImmediateError()) {
             handler.onReply(Reply.ERROR, loadReport());
         } else if (state == State.DRAINING || jobs.isFull()) {
-            world.record(Type.REJECTED, request, sidecar, number, 0);
+            environment.record(Type.REJECTED, request, sidecar, number, 0);
             handler.onReply(Reply.NEVER_RAN, loadReport());
         } else {
             accept(request, work, handler);
@@ -247,21 +247,21 @@
     private void accept(ClientAttempt request, double work, ResponseHandler handler) {
         boolean isKeyed = classOf(request).idempotency() == Idempotency.KEYED;
         jobs.add(new ServerJob(
-                request, work, handler, isKeyed && world.keyedRequests().isWithinWindow(request, this)));
+                request, work, handler, isKeyed && environment.keyedRequests().isWithinWindow(request, this)));
     }
 
     private RequestClassSpec classOf(ClientAttempt request) {
-        return world.scenario().classes().get(request.requestClass());
+        return environment.scenario().classes().get(request.requestClass());
     }
 
     private double loadReport() {
-        return loadReporter.report(requestsInFlight(), world.now());
+        return loadReporter.report(requestsInFlight(), environment.now());
     }
 
     private void recordStart(ServerJob job) {
-        world.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
-        if (world.isPoisonous(job.request)) {
-            world.schedule(0, () -> world.crashByPoisonRequest(this));
+        environment.record(Type.STARTED, job.request, job.request.sidecar(), number, 0);
+        if (environment.isPoisonous(job.request)) {
+            environment.schedule(0, () -> environment.crashByPoisonRequest(this));
         }
     }
 
@@ -278,9 +278,9 @@
     }
 
     private void takeEffect(ServerJob job) {
-        boolean isFirst = !job.isDeduplicated || world.keyedRequests().isFirstEffect(job.request, this);
+        boolean isFirst = !job.isDeduplicated || environment.keyedRequests().isFirstEffect(job.request, this);
         Type type = isFirst ? Type.EFFECT : Type.DEDUPLICATED;
-        world.record(type, job.request, job.request.sidecar(), number, 0);
+        environment.record(type, job.request, job.request.sidecar(), number, 0);
     }
 
     // ---- injected faults ------------------------------------------------------------------------------
@@ -309,7 +309,7 @@
     /** Schedules the next pause, such as a garbage collection: exponential gap, 0.5 to 1.5 times the mean duration. */
     private void scheduleNextPause() {
         double waitMs = -Math.log(1 - random.nextDouble()) * machine.pauseIntervalMs();
-        world.schedule(waitMs, () -> {
+        environment.schedule(waitMs, () -> {
             pause(machine.pauseMs() * (0.5 + random.nextDouble()));
             scheduleNextPause();
         });
@@ -323,7 +323,7 @@
         warmUp.onProcessStarted();
         speed.onProcessStarted();
         jobs.update();
-        world.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
+        environment.record(Type.SERVER_STARTED, null, -1, number, fullCapacity());
     }
 
     /** Starts draining: the process completes its requests and rejects new ones. */
@@ -334,7 +334,7 @@
     /** Ends the process: its connections are reset and new ones are refused. */
     void crash() {
         transitionTo(State.CRASHED);
-        world.record(Type.SERVER_DOWN, null, -1, number, 0);
+        environment.record(Type.SERVER_DOWN, null, -1, number, 0);
         for (ServerJob job : endProcess()) {
             job.handler.onReply(Reply.RESET, LoadReporter.NO_REPORT);
         }
@@ -344,15 +344,15 @@
     void vanish() {
         transitionTo(State.VANISHED);
         vanishedIncarnations.add(incarnation);
-        world.record(Type.SERVER_DOWN, null, -1, number, 1);
+        environment.record(Type.SERVER_DOWN, null, -1, number, 1);
         endProcess();
     }
 
     /** Crashes a cold process that exceeded its load limit. */
     private void collapse() {
-        world.record(Type.SERVER_COLLAPSED, null, -1, number, coldLoadLimit.offeredWork());
+        environment.record(Type.SERVER_COLLAPSED, null, -1, number, coldLoadLimit.offeredWork());
         crash();
-        world.scheduleCrashDetection(this);
+        environment.scheduleCrashDetection(this);
     }
 
     private void transitionTo(State next) {
--- a/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
+++ b/emulator/src/main/java/dewplank/emulator/ServerSpeed.java
@@ -8,7 +8,7 @@
  * {@link ProcessorSharing#plan} must be called.
  */
 final class ServerSpeed {
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final double baseWorkPerCoreMs;
     private final WarmUp warmUp;
     private final ConnectionTable connections;
@@ -18,8 +18,13 @@
     private double neighbourFraction;
     private double pausedUntilMs;
 
-    ServerSpeed(World world, MachineType machine, double baseSpeed, WarmUp warmUp, ConnectionTable connections) {
-        this.world = world;
+    ServerSpeed(
+            EmulatedEnvironment environment,
+            MachineType machine,
+            double baseSpeed,
+            WarmUp warmUp,
+            ConnectionTable connections) {
+        this.environment = environment;
         this.baseWorkPerCoreMs = baseSpeed;
         this.warmUp = warmUp;
         this.connections = connections;
@@ -33,7 +38,7 @@
 
     /** Work per millisecond that a core currently completes; 0 during a pause. */
     double workPerCoreMs() {
-        if (world.now() < pausedUntilMs) {
+        if (environment.now() < pausedUntilMs) {
             return 0;
         }
         return baseWorkPerCoreMs
@@ -53,7 +58,7 @@
     }
 
     void pause(double durationMs) {
-        pausedUntilMs = Math.max(pausedUntilMs, world.now() + durationMs);
+        pausedUntilMs = Math.max(pausedUntilMs, environment.now() + durationMs);
     }
 
     /** Makes the server {@code factor} times slower; 1 restores the base speed. */
--- a/emulator/src/main/java/dewplank/emulator/WarmUp.java
+++ b/emulator/src/main/java/dewplank/emulator/WarmUp.java
@@ -4,17 +4,17 @@
 
 /** Warm-up of a process: it starts cold, and its speed increases linearly. The initial processes of a run are warm. */
 final class WarmUp {
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final MachineType machine;
     private double startedAtMs = Double.NEGATIVE_INFINITY;
 
-    WarmUp(World world, MachineType machine) {
-        this.world = world;
+    WarmUp(EmulatedEnvironment environment, MachineType machine) {
+        this.environment = environment;
         this.machine = machine;
     }
 
     void onProcessStarted() {
-        startedAtMs = world.now();
+        startedAtMs = environment.now();
     }
 
     /** Start time of the process; negative infinity if it was started before the scenario. */
@@ -24,7 +24,7 @@
 
     /** Current fraction of the warm speed, from the machine's cold factor to 1. */
     double speedFactor() {
-        double ageMs = world.now() - startedAtMs;
+        double ageMs = environment.now() - startedAtMs;
         return machine.warmUpMs() <= 0 || ageMs >= machine.warmUpMs()
                 ? 1
                 : machine.coldSpeedFactor() + (1 - machine.coldSpeedFactor()) * Math.max(0, ageMs) / machine.warmUpMs();
--- a/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ConfigurationRules.java
@@ -2,7 +2,7 @@
 
 import dewplank.emulator.fleet.FleetEvent.AttemptEnded;
 import dewplank.emulator.fleet.FleetEvent.AttemptSent;
-import dewplank.emulator.fleet.FleetEvent.ChangeAnswered;
+import dewplank.emulator.fleet.FleetEvent.ChangeResponded;
 import dewplank.emulator.fleet.FleetEvent.ChangeSent;
 import dewplank.emulator.fleet.FleetEvent.ProcessFault;
 import dewplank.emulator.fleet.FleetEvent.ProcessFaulted;
@@ -25,14 +25,14 @@
     private final List<FleetEvent> events;
     private final AttemptLog attempts;
     private final List<ChangeSent> sentChanges; // without rejected changes, which are never applied
-    private final List<ChangeAnswered> acknowledged;
+    private final List<ChangeResponded> acknowledged;
     private final List<ProcessFaulted> faults;
     private final List<Violation> violations = new ArrayList<>();
 
     ConfigurationRules(List<FleetEvent> events, AttemptLog attempts) {
         this.events = events;
         this.attempts = attempts;
-        List<ChangeAnswered> responses = FleetEvent.ofType(events, ChangeAnswered.class);
+        List<ChangeResponded> responses = FleetEvent.ofType(events, ChangeResponded.class);
         this.sentChanges = FleetEvent.ofType(events, ChangeSent.class).stream()
                 .filter(change -> responses.stream().noneMatch(response -> wasRejected(response, change)))
                 .toList();
@@ -43,7 +43,7 @@
                 .toList();
     }
 
-    private static boolean wasRejected(ChangeAnswered response, ChangeSent change) {
+    private static boolean wasRejected(ChangeResponded response, ChangeSent change) {
         return response.status() != 0
                 && response.status() != OK
                 && response.base() == change.base()
@@ -66,7 +66,7 @@
 
     private void checkAcknowledgements() {
         Map<Long, Set<String>> textsByBase = new HashMap<>();
-        for (ChangeAnswered response : acknowledged) {
+        for (ChangeResponded response : acknowledged) {
             if (response.document().isEmpty()) {
                 report(Rule.CONFIG, "an invalid configuration was acknowledged: " + response.text());
             }
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetEvent.java
@@ -105,7 +105,7 @@
             implements FleetEvent {}
 
     /** A server's run of a request ended. */
-    record RunEnded(double atMs, ServerIdentity server, String attemptId, RunEnd how) implements FleetEvent {}
+    record RunEnded(double atMs, ServerIdentity server, String attemptId, RunEnd end) implements FleetEvent {}
 
     /** A prefill server stored a KV cache for an attempt. */
     record HandleCreated(double atMs, ServerIdentity server, String handle, String attemptId) implements FleetEvent {}
@@ -134,7 +134,7 @@
     record ChangeAttempted(double atMs, String node, String text, int status) implements FleetEvent {}
 
     /** The operator received the final response to a change; {@code status} is 0 if no control plane sent one. */
-    record ChangeAnswered(double atMs, long base, Optional<FleetConfiguration> document, String text, int status)
+    record ChangeResponded(double atMs, long base, Optional<FleetConfiguration> document, String text, int status)
             implements FleetEvent {}
 
     /** The operator read the configuration; {@code text} is empty if no control plane returned one. */
--- a/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/FleetProcess.java
@@ -119,13 +119,13 @@
     }
 
     /** Sends SIGSTOP. */
-    public void freeze() throws IOException, InterruptedException {
+    public void pause() throws IOException, InterruptedException {
         record(ProcessFault.FROZEN);
         process.signal("STOP");
     }
 
     /** Sends SIGCONT. */
-    public void thaw() throws IOException, InterruptedException {
+    public void resume() throws IOException, InterruptedException {
         record(ProcessFault.THAWED);
         process.signal("CONT");
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/LostRequestRules.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/LostRequestRules.java
@@ -89,7 +89,7 @@
         return !ended.complete()
                 && !ended.abandoned()
                 && ended.atMs() - sent.atMs() < timeoutMs
-                && runEnds(sent).stream().noneMatch(run -> run.how() == RunEnd.CRASHED);
+                && runEnds(sent).stream().noneMatch(run -> run.end() == RunEnd.CRASHED);
     }
 
     private void check(AttemptSent sent, AttemptEnded ended) {
@@ -162,7 +162,7 @@
     private boolean isLongRunning(ProcessFaulted termination, AttemptSent sent, double sentAfterMs) {
         return sentAfterMs <= MAX_SENT_AFTER_MS
                 && runEnds(sent).stream()
-                        .anyMatch(run -> run.how() == RunEnd.CALLER_LEFT
+                        .anyMatch(run -> run.end() == RunEnd.CALLER_LEFT
                                 && run.atMs() >= termination.atMs() + LAST_SIXTH_START_MS);
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/ModelServer.java
@@ -34,7 +34,7 @@
     }
 
     /** Makes later fetches of KV caches fail. */
-    public void rejectHandles() {
+    public void failHandleFetches() {
         fetchBehaviour = FetchBehaviour.FAIL;
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/RouteSpec.java
@@ -68,12 +68,12 @@
     }
 
     /** Returns a copy whose requests need no access key. */
-    public RouteSpec asPublic() {
+    public RouteSpec withPublicAccess() {
         return new RouteSpec(name, host, prefix, kind, split, maxAttempts, timeoutMs, true);
     }
 
     /** Returns a copy that routes to another service. */
-    public RouteSpec movedTo(String service) {
+    public RouteSpec withService(String service) {
         return new RouteSpec(
                 name, host, prefix, kind, List.of(new WeightedService(service, 1)), maxAttempts, timeoutMs, isPublic);
     }
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInFleet.java
@@ -42,7 +42,7 @@
             platform.listenFor(machine);
             control.add(new FleetProcess(loop, history, machine, seeds, commands.control(), folder));
         }
-        for (FleetMachine machine : machines(dataMachines, this::dataMachine)) {
+        for (FleetMachine machine : machines(dataMachines, this::createDataMachine)) {
             data.add(new FleetProcess(loop, history, machine, seeds, commands.data(), folder));
         }
         operator = new StandInOperator(loop, history, core);
@@ -63,7 +63,7 @@
                 "core-" + index, MachineClass.CORE, network.control(index), zone(index), network.platform(index));
     }
 
-    private FleetMachine dataMachine(int index) {
+    private FleetMachine createDataMachine(int index) {
         return new FleetMachine(
                 "edge-" + index, MachineClass.EDGE, network.data(index), zone(index), network.platform(0));
     }
@@ -101,7 +101,7 @@
     }
 
     /** The machine of one data plane; the index starts at 0. */
-    public FleetMachine edge(int index) {
+    public FleetMachine dataMachine(int index) {
         return data.get(index).machine();
     }
 
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInOperator.java
@@ -85,7 +85,7 @@
                 .header("Content-Type", "application/json")
                 .body(body);
         ResponseListener finalListener = (machine, response) -> {
-            history.add(new FleetEvent.ChangeAnswered(loop.now(), base, document, text, response.status()));
+            history.add(new FleetEvent.ChangeResponded(loop.now(), base, document, text, response.status()));
             status.complete(response.status());
         };
         new ConfigurationCall(
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInPlatform.java
@@ -108,19 +108,19 @@
         }
 
         @Override
-        protected void request(RequestParser request) {
+        protected void onRequest(RequestParser request) {
             int token = request.target().indexOf(PAGE_TOKEN);
             int from = token < 0 ? 0 : Integer.parseInt(request.target().substring(token + PAGE_TOKEN.length()));
             switch (behaviour) {
                 case ANSWERS -> {
                     record(200);
-                    answer(MessageWriter.response(200)
+                    respond(MessageWriter.response(200)
                             .header("Content-Type", "application/json")
                             .body(page(from).toString().getBytes(StandardCharsets.UTF_8)));
                 }
                 case TOO_MANY_CALLS -> {
                     record(429);
-                    answer(MessageWriter.response(429).body(new byte[0]));
+                    respond(MessageWriter.response(429).body(new byte[0]));
                 }
                 case UNRESPONSIVE -> record(0);
                 default -> throw new IllegalStateException("unknown behaviour: " + behaviour);
--- a/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/StandInServer.java
@@ -185,12 +185,12 @@
         private Arrival arrival;
 
         @Override
-        protected void opened() {
+        protected void onAccepted() {
             connections.add(this);
         }
 
         @Override
-        protected void ended() {
+        protected void onClosed() {
             connections.remove(this);
             if (arrival != null) {
                 arrival.endRun(RunEnd.CALLER_LEFT);
@@ -210,7 +210,7 @@
         }
 
         @Override
-        protected void request(RequestParser request) {
+        protected void onRequest(RequestParser request) {
             if (request.target().equals(REPORT_PATH)) {
                 sendResponse(MessageWriter.response(200), report());
                 return;
@@ -246,7 +246,7 @@
         }
 
         void sendResponse(MessageWriter head, String text) {
-            answer(head.body(text.getBytes(StandardCharsets.UTF_8)));
+            respond(head.body(text.getBytes(StandardCharsets.UTF_8)));
         }
 
         void sendPart(ByteBuffer bytes) {
@@ -254,7 +254,7 @@
         }
 
         void sendLastChunk() {
-            answer(Chunks.last());
+            respond(Chunks.last());
         }
     }
 }
--- a/emulator/src/main/java/dewplank/emulator/fleet/TenantSpec.java
+++ b/emulator/src/main/java/dewplank/emulator/fleet/TenantSpec.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns a copy with the given limit. */
-    public TenantSpec limitedTo(int requestsPerSecond, int burst) {
+    public TenantSpec withLimit(int requestsPerSecond, int burst) {
         return new TenantSpec(name, accessKeys, requestsPerSecond, burst);
     }
 
--- a/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/DirectoryEndpoint.java
@@ -4,8 +4,8 @@
 import com.google.gson.JsonObject;
 import dewplank.balancer.Endpoint;
 import dewplank.balancer.Endpoint.Availability;
+import dewplank.emulator.EmulatedEnvironment;
 import dewplank.emulator.EndpointDirectory;
-import dewplank.emulator.World;
 import dewplank.http.MessageWriter;
 import dewplank.http.RequestParser;
 import dewplank.net.EventLoop;
@@ -25,16 +25,19 @@
 
     private static final int MAX_CONNECTIONS = 1_000;
 
-    private final World world;
+    private final EmulatedEnvironment environment;
     private final int sidecar;
     private final BiFunction<Integer, Integer, InetSocketAddress> addresses;
     private final Listener listener;
 
     /** {@code addresses} returns the address at which a sidecar reaches a server, by the numbers of both. */
     DirectoryEndpoint(
-            EventLoop loop, World world, int sidecar, BiFunction<Integer, Integer, InetSocketAddress> addresses)
+            EventLoop loop,
+            EmulatedEnvironment environment,
+            int sidecar,
+            BiFunction<Integer, Integer, InetSocketAddress> addresses)
             throws IOException {
-        this.world = world;
+        this.environment = environment;
         this.sidecar = sidecar;
         this.addresses = addresses;
         this.listener = new Listener(loop, Addresses.directory(sidecar), MAX_CONNECTIONS, WatchConnection::new);
@@ -55,7 +58,7 @@
                     "addr",
                     Addresses.format(addresses.apply(
                             sidecar,
-                            world.server(endpoint.server()).orElseThrow().number())));
+                            environment.server(endpoint.server()).orElseThrow().number())));
             entry.addProperty("zone", endpoint.zone());
             entry.addProperty("kind", endpoint.kind());
             entry.addProperty("cell", endpoint.cell());
@@ -85,21 +88,22 @@
         private double lastWriteAtMs;
 
         @Override
-        protected void request(RequestParser request) {
+        protected void onRequest(RequestParser request) {
             String target = request.target();
             int indexAt = target.indexOf("index=");
             if (!target.startsWith("/catalog/members")) {
-                answer(MessageWriter.response(404).body(new byte[0]));
+                respond(MessageWriter.response(404).body(new byte[0]));
             } else if (indexAt < 0) {
-                answer(MessageWriter.response(world.directory().isDown() ? 503 : 200)
+                respond(MessageWriter.response(environment.directory().isDown() ? 503 : 200)
                         .body(json(
-                                        world.directory().version(),
+                                        environment.directory().version(),
                                         true,
-                                        world.directory().endpoints())
+                                        environment.directory().endpoints())
                                 .toString()
                                 .getBytes(StandardCharsets.UTF_8)));
             } else {
-                watch = Optional.of(world.directory()
+                watch = Optional.of(environment
+                        .directory()
                         .watch(sidecar, parseIndex(target.substring(indexAt + "index=".length())), this));
             }
         }
@@ -127,7 +131,7 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
                 scheduleKeepAlive();
             }
-            lastWriteAtMs = world.now();
+            lastWriteAtMs = environment.now();
             byte[] line = (text + "\n").getBytes(StandardCharsets.UTF_8);
             byte[] size = (Integer.toHexString(line.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
             write(ByteBuffer.allocate(size.length + line.length + 2)
@@ -139,10 +143,10 @@
         }
 
         private void scheduleKeepAlive() {
-            world.schedule(KEEP_ALIVE_MS / 4, () -> {
+            environment.schedule(KEEP_ALIVE_MS / 4, () -> {
                 if (open()) {
-                    if (world.now() - lastWriteAtMs >= KEEP_ALIVE_MS
-                            && !world.directory().isStalled()) {
+                    if (environment.now() - lastWriteAtMs >= KEEP_ALIVE_MS
+                            && !environment.directory().isStalled()) {
                         writeLine("");
                     }
                     scheduleKeepAlive();
@@ -151,7 +155,7 @@
         }
 
         @Override
-        public void ended() {
+        public void onClosed() {
             watch.ifPresent(EndpointDirectory.Watch::close);
             if (open()) {
                 if (!isHeadSent) {
--- a/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
+++ b/emulator/src/main/java/dewplank/emulator/loopback/HttpClient.java
@@ -60,7 +60,7 @@
         private Call(ByteBuffer request, ResponseHandler handler) {
             this.request = request;
             this.handler = handler;
-            this.parser = new ResponseParser(keepsBodies ? MessageParser.MAX_BODY_BYTES : Integer.MAX_VALUE);
+            this.parser = new ResponseParser(storesBodies ? MessageParser.MAX_BODY_BYTES : Integer.MAX_VALUE);
             if (isHeadRequest(request)) {
                 parser.expectHead();
             }
@@ -132,7 +132,7 @@
                 boolean isComplete = parser.feed(bytes);
                 if (handler instanceof StreamHandler streamHandler) {
                     deliverPart(streamHandler, parser.takeBody());
-                } else if (!keepsBodies) {
+                } else if (!storesBodies) {
                     parser.takeBody();
                 }
                 if (isComplete) {
@@ -198,7 +198,7 @@
     private final List<InetAddress> sources;
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<Call> queue = new ArrayDeque<>();
-    private boolean keepsBodies = true;
+    private boolean storesBodies = true;
     private int openCount;
     private long openedCount;
 
@@ -216,8 +216,8 @@
     }
 
     /** Discards the bodies of all later responses, which may then be of any length. */
-    public HttpClient forgetBodies() {
-        keepsBodies = false;
+    public HttpClient discardBodies() {
+        storesBodies = false;
         return this;
     }
 
@@ -233,12 +233,12 @@
     }
 
     /** The number of connections opened so far. */
-    public long opened() {
+    public long openedConnections() {
         return openedCount;
     }
 
     /** The number of calls that wait for a connection. */
-    public int waiting() {
+    public int queuedCalls() {
         return queue.size();
     }
 
