--- a/transport/src/test/java/dewplank/exchange/HttpCallTest.java
+++ b/transport/src/test/java/dewplank/exchange/HttpCallTest.java
@@ -72,7 +72,7 @@
         }
 
         String next() throws InterruptedException {
-            String event = events.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+            String event = events.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
             return event == null ? "no event" : event;
         }
 
@@ -102,8 +102,9 @@
     }
 
     /** Sends a response with a Content-Length, and asserts that the listener receives all of it. */
-    private static void assertResponseDelivered(Wire wire, RecordingListener listener, String body) throws Exception {
-        wire.answer("200 OK", "", body);
+    private static void assertResponseDelivered(TestPeer peer, RecordingListener listener, String body)
+            throws Exception {
+        peer.respond("200 OK", "", body);
         listener.expect("head 200");
         if (!body.isEmpty()) {
             listener.expect("body " + body);
@@ -112,11 +113,11 @@
     }
 
     /** Runs a call to its completion and returns its connection. */
-    private Wire completedCall(String body) throws Exception {
+    private TestPeer completedCall(String body) throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        assertResponseDelivered(wire, listener, body);
-        return wire;
+        TestPeer peer = server.next().peer();
+        assertResponseDelivered(peer, listener, body);
+        return peer;
     }
 
     private RecordingListener startCall() {
@@ -134,29 +135,29 @@
     @Test
     void aBodyWithALengthIsDeliveredAsItArrives() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nab");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nab");
         listener.expect("head 200", "body ab");
-        wire.send("cd");
+        peer.send("cd");
         listener.expect("body cd");
-        wire.send("ef");
+        peer.send("ef");
         listener.expect("body ef", "complete");
     }
 
     @Test
     void chunksAreDeliveredAsTheyArrive() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\nTransfer-Enco");
-        wire.send("ding: chunked\r\n\r\n");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\nTransfer-Enco");
+        peer.send("ding: chunked\r\n\r\n");
         listener.expect("head 200");
-        wire.chunk("one");
+        peer.chunk("one");
         listener.expect("body one");
-        wire.send("5\r\ntw");
+        peer.send("5\r\ntw");
         listener.expect("body tw");
-        wire.send("o.1\r\n");
+        peer.send("o.1\r\n");
         listener.expect("body o.1");
-        wire.lastChunk();
+        peer.lastChunk();
         listener.expect("complete");
         OnLoop.await(loop, () -> pool.size() == 1);
     }
@@ -164,26 +165,26 @@
     @Test
     void aResponseWithoutABodyIsCompleteAfterItsHead() throws Exception {
         RecordingListener listener = startCall();
-        server.next().wire().send("HTTP/1.1 204 No Content\r\n\r\n");
+        server.next().peer().send("HTTP/1.1 204 No Content\r\n\r\n");
         listener.expect("head 204", "complete");
     }
 
     @Test
     void interimResponsesAreSkipped() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
-        assertResponseDelivered(wire, listener, "it");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n");
+        assertResponseDelivered(peer, listener, "it");
     }
 
     @Test
     void aResponseWithoutALengthIsCompleteAtEndOfStream() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\n\r\nall of");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\n\r\nall of");
         listener.expect("head 200", "body all of");
-        wire.send(" it");
-        wire.close();
+        peer.send(" it");
+        peer.close();
         listener.expect("body  it", "complete");
         assertEquals(0, OnLoop.get(loop, pool::size));
     }
@@ -191,10 +192,10 @@
     @Test
     void aResetTruncatesAResponseWithoutALength() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\n\r\nall of");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\n\r\nall of");
         listener.expect("head 200", "body all of");
-        wire.reset();
+        peer.reset();
         listener.expect("failed BROKEN");
     }
 
@@ -210,24 +211,24 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"
         }) {
             RecordingListener listener = startCall();
-            Wire wire = server.next().wire();
-            wire.send(malformed);
+            TestPeer peer = server.next().peer();
+            peer.send(malformed);
             assertEquals("failed MALFORMED", listener.next(), malformed);
-            wire.awaitEnd();
+            peer.awaitClose();
         }
     }
 
     @Test
     void aMalformedChunkFailsTheCallDuringItsResponse() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        wire.chunk("one");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        peer.chunk("one");
         listener.expect("head 200", "body one");
-        wire.send("2\r\nabc\r\n");
+        peer.send("2\r\nabc\r\n");
         String last = listener.next();
         assertEquals("failed MALFORMED", last.startsWith("body") ? listener.next() : last);
-        wire.awaitEnd();
+        peer.awaitClose();
     }
 
     @Test
@@ -240,9 +241,9 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n"
         }) {
             RecordingListener listener = startCall();
-            Wire wire = server.next().wire();
-            wire.send(part);
-            wire.close();
+            TestPeer peer = server.next().peer();
+            peer.send(part);
+            peer.close();
             String event = listener.next();
             while (event.startsWith("head") || event.startsWith("body")) {
                 event = listener.next();
@@ -258,20 +259,20 @@
         pool = new ConnectionPool(clock, ConnectionPool.REUSE_DELAY_MS, 60_000);
         RecordingListener first = startCall();
         ScriptedServer.Call one = server.next();
-        assertResponseDelivered(one.wire(), first, "1");
+        assertResponseDelivered(one.peer(), first, "1");
         RecordingListener second = new RecordingListener();
         HttpCall early = startCall(REQUEST, second); // within the reuse delay: uses another connection
         ScriptedServer.Call two = server.next();
-        assertNotSame(one.wire(), two.wire());
+        assertNotSame(one.peer(), two.peer());
         assertFalse(early.isReused());
-        assertResponseDelivered(two.wire(), second, "2");
+        assertResponseDelivered(two.peer(), second, "2");
         clock.advance(ConnectionPool.REUSE_DELAY_MS);
         RecordingListener third = new RecordingListener();
         HttpCall reusing = startCall(REQUEST, third);
         ScriptedServer.Call three = server.next();
-        assertSame(two.wire(), three.wire(), "the most recently used connection is reused first");
+        assertSame(two.peer(), three.peer(), "the most recently used connection is reused first");
         assertTrue(reusing.isReused());
-        assertResponseDelivered(three.wire(), third, "3");
+        assertResponseDelivered(three.peer(), third, "3");
     }
 
     @Test
@@ -300,7 +301,7 @@
     private ConnectionPool poolWithIdleConnection(String fields) throws Exception {
         pool = new ConnectionPool(clock, 0, 60_000);
         RecordingListener listener = startCall();
-        server.next().wire().answer("200 OK", fields, "");
+        server.next().peer().respond("200 OK", fields, "");
         listener.expect("head 200", "complete");
         return pool;
     }
@@ -309,10 +310,10 @@
     void aNonPersistentConnectionIsNotReused() throws Exception {
         for (String head : new String[] {"HTTP/1.1 200 OK\r\nConnection: close\r\n", "HTTP/1.0 200 OK\r\n"}) {
             RecordingListener listener = startCall();
-            Wire wire = server.next().wire();
-            wire.send(head + "Content-Length: 0\r\n\r\n");
+            TestPeer peer = server.next().peer();
+            peer.send(head + "Content-Length: 0\r\n\r\n");
             listener.expect("head 200", "complete");
-            wire.awaitEnd();
+            peer.awaitClose();
             assertEquals(0, OnLoop.get(loop, pool::size));
         }
     }
@@ -320,41 +321,41 @@
     @Test
     void surplusBytesCloseTheConnection() throws Exception {
         RecordingListener listener = startCall();
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nho");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nho");
         listener.expect("head 200", "body hi", "complete");
-        wire.awaitEnd();
+        peer.awaitClose();
         assertEquals(0, OnLoop.get(loop, pool::size));
     }
 
     /** The second response arrives on the idle connection, before the next call could mistake it for its response. */
     @Test
     void aSecondResponseOnAnIdleConnectionClosesIt() throws Exception {
-        Wire wire = completedCall("hi");
-        wire.answer("200 OK", "", "ho");
-        wire.awaitEnd();
+        TestPeer peer = completedCall("hi");
+        peer.respond("200 OK", "", "ho");
+        peer.awaitClose();
         assertEquals(0, OnLoop.get(loop, pool::size));
         RecordingListener next = startCall();
         ScriptedServer.Call call = server.next();
-        assertNotSame(wire, call.wire());
-        assertResponseDelivered(call.wire(), next, "own");
+        assertNotSame(peer, call.peer());
+        assertResponseDelivered(call.peer(), next, "own");
     }
 
     /** The next call is in progress when the late response to the previous one arrives. */
     @Test
     void aResponseToAnotherCallIsDiscardedByItsId() throws Exception {
-        Wire wire = completedCall("hi");
+        TestPeer peer = completedCall("hi");
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
         startCall(REQUEST, listener);
-        assertSame(wire, server.next().wire());
-        wire.answer("200 OK", "Id: a\r\n", "late");
+        assertSame(peer, server.next().peer());
+        peer.respond("200 OK", "Id: a\r\n", "late");
         listener.expect("discarded 200");
-        wire.send("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n");
-        wire.chunk("later");
-        wire.lastChunk();
+        peer.send("HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n");
+        peer.chunk("later");
+        peer.lastChunk();
         listener.expect("discarded 200");
-        wire.answer("200 OK", "Id: b\r\n", "own");
+        peer.respond("200 OK", "Id: b\r\n", "own");
         listener.expect("head 200", "body own", "complete");
     }
 
@@ -364,7 +365,7 @@
         listener.expectedId = "b";
         startCall(REQUEST, listener);
         server.next()
-                .wire()
+                .peer()
                 .send("HTTP/1.1 503 Busy\r\nId: a\r\nContent-Length: 4\r\n\r\nlate"
                         + "HTTP/1.1 200 OK\r\nId: b\r\nContent-Length: 3\r\n\r\nown");
         listener.expect("discarded 503", "head 200", "body own", "complete");
@@ -375,7 +376,7 @@
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
         startCall(REQUEST, listener);
-        server.next().wire().answer("200 OK", "Id: a\r\nConnection: close\r\n", "late");
+        server.next().peer().respond("200 OK", "Id: a\r\nConnection: close\r\n", "late");
         listener.expect("discarded 200", "failed BROKEN");
     }
 
@@ -384,9 +385,9 @@
         RecordingListener listener = new RecordingListener();
         listener.expectedId = "b";
         startCall(REQUEST, listener);
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\nId: a\r\n\r\nlate");
-        wire.close();
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\nId: a\r\n\r\nlate");
+        peer.close();
         listener.expect("discarded 200", "failed BROKEN");
     }
 
@@ -405,13 +406,13 @@
 
     @Test
     void aConnectTimeoutFailsAsNotConnected() throws Exception {
-        try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
+        try (ScriptedServer late = ScriptedServer.withDelayedAccept(new LinkedBlockingQueue<>())) {
             RecordingListener listener = new RecordingListener();
             HttpCall call = call(late, REQUEST, listener);
             loop.execute(() -> call.start(30));
             listener.expect("failed NOT_CONNECTED");
             assertFalse(OnLoop.get(loop, call::isSent));
-            assertTrue(OnLoop.get(loop, call::isOver));
+            assertTrue(OnLoop.get(loop, call::isDone));
         }
     }
 
@@ -419,29 +420,29 @@
     void aResetAfterTheLastByteFailsAsBroken() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = startCall(REQUEST, listener);
-        Wire wire = server.next().wire();
+        TestPeer peer = server.next().peer();
         assertTrue(OnLoop.get(loop, call::isSent));
-        wire.reset();
+        peer.reset();
         listener.expect("failed BROKEN");
     }
 
     @Test
     void aCloseAfterTheLastByteFailsAsBroken() throws Exception {
         RecordingListener listener = startCall();
-        server.next().wire().close();
+        server.next().peer().close();
         listener.expect("failed BROKEN");
     }
 
     /** A server may start to process a request before it has read a long body. */
     @Test
     void aResetDuringTheRequestFailsAsBroken() throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             RecordingListener listener = new RecordingListener();
             HttpCall call = call(raw, longRequest(), listener);
             start(call);
-            Wire wire = raw.nextConnection();
-            wire.readHead();
-            wire.reset();
+            TestPeer peer = raw.nextConnection();
+            peer.readHead();
+            peer.reset();
             listener.expect("failed BROKEN");
             assertFalse(OnLoop.get(loop, call::isSent));
         }
@@ -468,15 +469,15 @@
     /** The rest of the request is not sent yet, so no other request may be sent on its connection. */
     @Test
     void aConnectionIsNotReusedAfterAnEarlyResponse() throws Exception {
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             RecordingListener listener = new RecordingListener();
             HttpCall call = call(raw, longRequest(), listener);
             start(call);
-            Wire wire = raw.nextConnection();
-            wire.readHead();
-            assertResponseDelivered(wire, listener, "early");
+            TestPeer peer = raw.nextConnection();
+            peer.readHead();
+            assertResponseDelivered(peer, listener, "early");
             assertEquals(0, OnLoop.get(loop, pool::size));
-            String received = wire.readToEnd();
+            String received = peer.readToEnd();
             assertTrue(
                     received.chars().allMatch(character -> character == 'x'),
                     "other bytes were sent instead of the body");
@@ -487,38 +488,38 @@
     @Test
     void aServerThatContinuesToReadAfterAnEarlyResponseReceivesTheBodyAndTheNextRequest() throws Exception {
         String body = "y".repeat(SOCKET_BUFFER_BYTES);
-        try (ScriptedServer raw = ScriptedServer.raw()) {
+        try (ScriptedServer raw = ScriptedServer.withoutReading()) {
             RecordingListener listener = new RecordingListener();
             HttpCall first =
                     call(raw, "POST /1 HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body, listener);
             start(first);
-            Wire wire = raw.nextConnection();
-            assertEquals("/1", wire.readHead().target());
+            TestPeer peer = raw.nextConnection();
+            assertEquals("/1", peer.readHead().target());
             OnLoop.await(loop, first::isSent);
-            assertResponseDelivered(wire, listener, "early");
+            assertResponseDelivered(peer, listener, "early");
             RecordingListener next = new RecordingListener();
             HttpCall second = call(raw, "GET /2 HTTP/1.1\r\n\r\n", next);
             start(second);
-            assertEquals(body, wire.readBytes(body.length()));
-            assertEquals("/2", wire.readHead().target());
+            assertEquals(body, peer.readBytes(body.length()));
+            assertEquals("/2", peer.readHead().target());
             assertTrue(second.isReused());
-            assertResponseDelivered(wire, next, "own");
+            assertResponseDelivered(peer, next, "own");
         }
     }
 
     // ---- exclusive calls, HEAD and closed connections -------------------------------------------------
 
     @Test
-    void anExclusiveCallNeitherUsesNorReturnsAPooledConnection() throws Exception {
-        Wire wire = completedCall("");
+    void aCallWithADedicatedConnectionNeitherUsesNorReturnsAPooledConnection() throws Exception {
+        TestPeer peer = completedCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener listener = new RecordingListener();
-        HttpCall exclusive = call(REQUEST, listener).exclusive();
-        start(exclusive);
-        Wire own = server.next().wire();
-        assertNotSame(wire, own);
+        HttpCall dedicated = call(REQUEST, listener).useDedicatedConnection();
+        start(dedicated);
+        TestPeer own = server.next().peer();
+        assertNotSame(peer, own);
         assertResponseDelivered(own, listener, "");
-        own.awaitEnd();
+        own.awaitClose();
         assertEquals(1, OnLoop.get(loop, pool::size), "the idle connection stays in the pool");
     }
 
@@ -528,7 +529,7 @@
         RecordingListener listener = new RecordingListener();
         HttpCall call = call("HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n", listener).expectHead();
         start(call);
-        server.next().wire().send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n");
+        server.next().peer().send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n");
         listener.expect("head 200", "complete");
         OnLoop.await(loop, () -> pool.size() == 1);
     }
@@ -536,25 +537,25 @@
     /** The close of an idle connection by its server is detected before the next call, which opens a new one. */
     @Test
     void anIdleConnectionThatItsServerClosedIsNotReused() throws Exception {
-        Wire wire = completedCall("");
-        wire.close();
+        TestPeer peer = completedCall("");
+        peer.close();
         OnLoop.await(loop, () -> pool.size() == 0);
         RecordingListener second = startCall();
         ScriptedServer.Call call = server.next();
-        assertNotSame(wire, call.wire());
-        assertResponseDelivered(call.wire(), second, "");
+        assertNotSame(peer, call.peer());
+        assertResponseDelivered(call.peer(), second, "");
     }
 
     /** A call starts before the server's reset of the idle connection is detected: its request may have run. */
     @Test
     void aResetOfAReusedConnectionFailsItsCall() throws Exception {
-        Wire wire = completedCall("");
+        TestPeer peer = completedCall("");
         OnLoop.await(loop, () -> pool.size() == 1);
         RecordingListener second = new RecordingListener();
         OnLoop.run(
                 loop,
                 () -> { // in one task of the loop, so that the reset is not detected before the call starts
-                    wire.reset();
+                    peer.reset();
                     call(REQUEST, second).start(CONNECT_TIMEOUT_MS);
                 });
         assertTrue(second.next().startsWith("failed "));
@@ -564,19 +565,19 @@
 
     @Test
     void aCallCancelledBeforeItIsConnectedSendsNothing() throws Exception {
-        try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
+        try (ScriptedServer late = ScriptedServer.withDelayedAccept(new LinkedBlockingQueue<>())) {
             RecordingListener listener = new RecordingListener();
             HttpCall call = call(late, REQUEST, listener);
             OnLoop.run(loop, () -> {
                 call.start(30);
                 call.cancel();
             });
-            late.letIn();
-            try (Wire mark = Wire.to(late.address())) {
+            late.acceptConnections();
+            try (TestPeer mark = TestPeer.to(late.address())) {
                 mark.send("GET /mark HTTP/1.1\r\n\r\n");
                 assertEquals("/mark", late.next().message().target());
             }
-            OnLoop.pass(loop, 30);
+            OnLoop.waitMs(loop, 30);
             assertNull(listener.events.poll(), "a cancelled call reports no event, not even a connect timeout");
         }
     }
@@ -585,9 +586,9 @@
     void aCallCancelledBeforeItsResponseClosesItsConnection() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = startCall(REQUEST, listener);
-        Wire wire = server.next().wire();
+        TestPeer peer = server.next().peer();
         OnLoop.run(loop, call::cancel);
-        wire.awaitEnd();
+        peer.awaitClose();
         assertNull(listener.events.poll());
         assertEquals(0, OnLoop.get(loop, pool::size));
     }
@@ -596,11 +597,11 @@
     void aCallCancelledDuringItsResponseClosesItsConnection() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = startCall(REQUEST, listener);
-        Wire wire = server.next().wire();
-        wire.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
+        TestPeer peer = server.next().peer();
+        peer.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab");
         listener.expect("head 200", "body ab");
         OnLoop.run(loop, call::cancel);
-        wire.awaitEnd();
+        peer.awaitClose();
         assertNull(listener.events.poll());
     }
 
@@ -639,9 +640,9 @@
                 }
             });
             loop.execute(() -> call[0].start(CONNECT_TIMEOUT_MS));
-            Wire wire = server.next().wire();
-            wire.answer("200 OK", "", "hi");
-            wire.awaitEnd();
+            TestPeer peer = server.next().peer();
+            peer.respond("200 OK", "", "hi");
+            peer.awaitClose();
             assertEquals(at.equals("head") ? "[head]" : "[head, body]", OnLoop.get(loop, events::toString));
         }
     }
@@ -650,28 +651,28 @@
     void cancellingACompleteCallHasNoEffect() throws Exception {
         RecordingListener listener = new RecordingListener();
         HttpCall call = startCall(REQUEST, listener);
-        Wire wire = server.next().wire();
-        assertResponseDelivered(wire, listener, "");
+        TestPeer peer = server.next().peer();
+        assertResponseDelivered(peer, listener, "");
         OnLoop.run(loop, call::cancel);
         assertEquals(1, OnLoop.get(loop, pool::size));
-        assertFalse(wire.isEnded());
+        assertFalse(peer.isClosedByPeer());
     }
 
     // ---- send condition -------------------------------------------------------------------------------
 
     @Test
     void aCallWhoseSendConditionIsFalseIsNotWritten() throws Exception {
-        try (ScriptedServer late = ScriptedServer.late(new LinkedBlockingQueue<>())) {
+        try (ScriptedServer late = ScriptedServer.withDelayedAccept(new LinkedBlockingQueue<>())) {
             RecordingListener listener = new RecordingListener();
             boolean[] condition = {true};
             HttpCall call =
                     new HttpCall(loop, late.address(), pool, bytes(REQUEST), listener).sendOnlyIf(() -> condition[0]);
             OnLoop.run(loop, () -> call.start(60_000));
             OnLoop.run(loop, () -> condition[0] = false);
-            late.letIn();
+            late.acceptConnections();
             listener.expect("failed WITHHELD");
             for (int i = 0; i < 3; i++) { // two connections fill the backlog; the third is the call's
-                late.nextConnection().awaitEnd();
+                late.nextConnection().awaitClose();
             }
         }
     }
@@ -683,8 +684,8 @@
         HttpCall failing = call(REQUEST, second).sendOnlyIf(() -> false);
         start(failing);
         second.expect("failed WITHHELD");
-        assertTrue(OnLoop.get(loop, failing::isOver));
+        assertTrue(OnLoop.get(loop, failing::isDone));
         RecordingListener third = startCall();
-        assertResponseDelivered(server.next().wire(), third, "");
+        assertResponseDelivered(server.next().peer(), third, "");
     }
 }
--- a/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
+++ b/transport/src/test/java/dewplank/exchange/InboundConnectionTest.java
@@ -57,12 +57,12 @@
         }
 
         @Override
-        public void callerGone(InboundConnection connection) {
+        public void clientDisconnected(InboundConnection connection) {
             disconnects.add(connection);
         }
 
         @Override
-        public void connectionEnded(InboundConnection connection) {
+        public void connectionClosed(InboundConnection connection) {
             closed.add(connection);
         }
 
@@ -77,15 +77,15 @@
         }
 
         void expectDisconnect(InboundConnection connection) throws InterruptedException {
-            assertEquals(connection, disconnects.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals(connection, disconnects.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS));
         }
 
         void expectClose() throws InterruptedException {
-            assertNotNull(closed.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+            assertNotNull(closed.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS));
         }
 
         HandledRequest next() throws InterruptedException {
-            HandledRequest next = handled.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+            HandledRequest next = handled.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
             assertNotNull(next, "no request was handled");
             return next;
         }
@@ -107,27 +107,27 @@
         loop.stop();
     }
 
-    private Wire client() throws IOException {
-        return Wire.to((InetSocketAddress) listener.address());
+    private TestPeer client() throws IOException {
+        return TestPeer.to((InetSocketAddress) listener.address());
     }
 
     /** Connects a client that sends a request without a body. */
-    private Wire clientWithRequest() throws IOException {
-        Wire client = client();
+    private TestPeer clientWithRequest() throws IOException {
+        TestPeer client = client();
         client.send(request("/", "", ""));
         return client;
     }
 
     /** Sends part of a request and returns the inbound connection that has received it. */
-    private InboundConnection sendPartialRequest(Wire client) throws Exception {
+    private InboundConnection sendPartialRequest(TestPeer client) throws Exception {
         InboundConnection connection = accepted();
         client.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::isHalfRead);
+        OnLoop.await(loop, connection::hasPartialRequest);
         return connection;
     }
 
     private InboundConnection accepted() throws InterruptedException {
-        InboundConnection connection = connections.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+        InboundConnection connection = connections.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(connection, "no connection was accepted");
         return connection;
     }
@@ -139,7 +139,7 @@
 
     private void respond(HandledRequest handled, int status, String body) throws Exception {
         OnLoop.run(loop, () -> handled.connection()
-                .answer(status, List.of(new Headers.Field("Own", "x")), body.getBytes(StandardCharsets.ISO_8859_1)));
+                .respond(status, List.of(new Headers.Field("Own", "x")), body.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     private void onLoop(HandledRequest handled, Consumer<InboundConnection> step) throws Exception {
@@ -147,7 +147,7 @@
     }
 
     private void beginResponse(HandledRequest handled) throws Exception {
-        onLoop(handled, connection -> connection.beginAnswer(200, List.of()));
+        onLoop(handled, connection -> connection.startResponse(200, List.of()));
     }
 
     private void writePart(HandledRequest handled, String text) throws Exception {
@@ -162,7 +162,7 @@
 
     @Test
     void aCompleteRequestIsHandledAndItsResponseSent() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send("PUT /a/b?c=d HTTP/1.1\r\nHost: h\r\nX: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
         client.send("4\r\n two\r\n0\r\n\r\n");
         HandledRequest handled = service.next();
@@ -172,7 +172,7 @@
         assertEquals("one two", handled.body());
         assertTrue(OnLoop.get(loop, handled.connection()::isBusy));
         respond(handled, 200, "response");
-        Wire.Message response = client.read();
+        TestPeer.Message response = client.read();
         assertEquals("HTTP/1.1 200 OK", response.startLine());
         assertEquals("x", response.header("Own"));
         assertEquals("response", response.body());
@@ -183,7 +183,7 @@
 
     @Test
     void pipelinedRequestsAreHandledOneByOne() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/1", "", "a") + request("/2", "", "b") + request("/3", "", "c"));
         for (String number : List.of("1", "2", "3")) {
             HandledRequest handled = service.next();
@@ -198,27 +198,27 @@
     /** For a client, the response to a HEAD ends with its head: a body would be read as the next response. */
     @Test
     void theResponseToAHeadRequestHasNoBodyAndTheNextResponseFollows() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
         respond(service.next(), 200, "not for a HEAD");
         assertEquals(200, client.readHead().status());
         respond(service.next(), 201, "own");
-        Wire.Message next = client.read();
+        TestPeer.Message next = client.read();
         assertEquals(201, next.status());
         assertEquals("own", next.body());
     }
 
     @Test
     void aStreamedResponseToAHeadRequestHasNoBody() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send("HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + request("/2", "", ""));
         HandledRequest handled = service.next();
         onLoop(handled, connection -> {
-            connection.beginAnswer(200, List.of());
+            connection.startResponse(200, List.of());
             connection.writePart(bytes("event"));
-            connection.endAnswer();
+            connection.endResponse();
         });
-        Wire.Message head = client.readHead();
+        TestPeer.Message head = client.readHead();
         assertEquals(200, head.status());
         assertNull(head.header("Transfer-Encoding"));
         respond(service.next(), 201, "own");
@@ -228,10 +228,10 @@
     /** Such a response has no Content-Length (RFC 9110, section 8.6). */
     @Test
     void aResponseWithStatus204EndsWithItsHead() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/1", "", "") + request("/2", "", ""));
         respond(service.next(), 204, "");
-        Wire.Message empty = client.read();
+        TestPeer.Message empty = client.read();
         assertEquals(204, empty.status());
         assertNull(empty.header("Content-Length"));
         respond(service.next(), 200, "own");
@@ -240,7 +240,7 @@
 
     @Test
     void expect100ContinueReceivesOneInterimResponse() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send("POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
         assertEquals(100, client.readHead().status());
         client.send("ab");
@@ -254,10 +254,10 @@
     @Test
     void aRequestWithConnectionCloseIsTheLastOfItsConnection() throws Exception {
         for (String fields : List.of("Connection: close\r\n", "Connection: Close, x\r\n")) {
-            Wire client = client();
+            TestPeer client = client();
             client.send(request("/", fields, "") + request("/ahead", "", ""));
             respond(service.next(), 200, "1");
-            Wire.Message response = client.read();
+            TestPeer.Message response = client.read();
             assertEquals("close", response.header("Connection"));
             assertNull(client.read());
             service.expectClose();
@@ -267,7 +267,7 @@
 
     @Test
     void aResponseOfAClosingServiceIsTheLastOfItsConnection() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
         service.closing = true;
         respond(handled, 200, "1");
@@ -278,10 +278,10 @@
     @Test
     void anExceptionInTheServiceIsReportedAs500() throws Exception {
         service.throwsException = true;
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         assertEquals(500, client.read().status());
         assertNull(client.read());
-        assertNotNull(service.disconnects.poll(Wire.PATIENCE_S, TimeUnit.SECONDS));
+        assertNotNull(service.disconnects.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     // ---- malformed, oversized and timed-out requests --------------------------------------------------
@@ -294,13 +294,13 @@
                 request("/", "Expect: 100-continue\r\n", tooLong).replace(tooLong, ""),
                 "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(MAX_BODY_BYTES) + "\r\n"
                         + "x".repeat(MAX_BODY_BYTES) + "\r\n1\r\nx\r\n0\r\n\r\n")) {
-            Wire client = client();
+            TestPeer client = client();
             client.send(message);
             assertEquals(413, client.read().status());
             assertNull(client.read());
         }
         assertTrue(service.handled.isEmpty());
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/", "", "x".repeat(MAX_BODY_BYTES)));
         assertEquals(MAX_BODY_BYTES, service.next().body().length());
     }
@@ -314,7 +314,7 @@
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
                 "POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\nx",
                 "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy")) {
-            Wire client = client();
+            TestPeer client = client();
             client.send(message + request("/smuggled", "", ""));
             assertEquals(400, client.read().status(), message);
             assertNull(client.read());
@@ -326,7 +326,7 @@
     /** The bytes after a request are malformed: the response to the request is sent completely before the 400. */
     @Test
     void malformedBytesAfterARequestCloseTheConnectionAfterItsResponse() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/", "", "") + "what?\r\n\r\n");
         respond(service.next(), 200, "own");
         assertEquals("own", client.read().body());
@@ -337,7 +337,7 @@
 
     @Test
     void aPartialRequestThatTimesOutIsRejectedWith408() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = sendPartialRequest(client);
         OnLoop.run(loop, connection::timeOut);
         assertEquals(408, client.read().status());
@@ -347,7 +347,7 @@
 
     @Test
     void anIdleConnectionThatTimesOutIsClosedWithoutAResponse() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, connection::timeOut);
         assertNull(client.read());
@@ -356,16 +356,16 @@
 
     @Test
     void theIdleTimeoutStartsAtTheLastResponse() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> connection.timeOutAfter(60_000));
         client.send(request("/", "", ""));
         HandledRequest handled = service.next();
-        OnLoop.pass(loop, 20);
+        OnLoop.waitMs(loop, 20);
         onLoop(handled, busy -> busy.timeOutAfter(0));
         respond(handled, 200, "still served");
         assertEquals("still served", client.read().body());
-        OnLoop.pass(loop, 20);
+        OnLoop.waitMs(loop, 20);
         OnLoop.run(loop, () -> connection.timeOutAfter(10));
         assertNull(client.read());
         service.expectClose();
@@ -375,7 +375,7 @@
 
     @Test
     void aDisconnectBeforeTheResponseIsReportedOnce() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
         client.close();
         service.expectDisconnect(handled.connection());
@@ -383,13 +383,13 @@
         respond(handled, 200, "too late"); // has no effect
         beginResponse(handled);
         writePart(handled, "too late");
-        onLoop(handled, InboundConnection::endAnswer);
+        onLoop(handled, InboundConnection::endResponse);
         assertTrue(service.disconnects.isEmpty());
     }
 
     @Test
     void aDisconnectDuringTheResponseIsReported() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
         beginResponse(handled);
         writePart(handled, "one");
@@ -402,7 +402,7 @@
     /** The client closes immediately after its request. */
     @Test
     void aRequestOfADisconnectedClientIsNotHandled() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
             client.send(request("/", "", ""));
@@ -418,7 +418,7 @@
 
     @Test
     void aDisconnectAfterPipelinedRequestsIsReported() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/1", "", "") + request("/2", "", "x".repeat(50)) + request("/3", "", ""));
         HandledRequest handled = service.next();
         client.close();
@@ -429,7 +429,7 @@
 
     @Test
     void aDisconnectDuringARequestOnlyClosesTheConnection() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         sendPartialRequest(client);
         client.close();
         service.expectClose();
@@ -439,7 +439,7 @@
 
     @Test
     void readAheadOverTheLimitFailsTheRequest() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
         client.send("x".repeat(80 * 1024));
         assertEquals(400, client.read().status());
@@ -449,7 +449,7 @@
     /** The read-ahead limit is exceeded after the request was parsed and before it is handled. */
     @Test
     void aRequestRejectedForReadAheadIsNotHandled() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
             connection.received(ByteBuffer.wrap(bytes(request("/", "", ""))));
@@ -465,11 +465,11 @@
 
     @Test
     void aStreamIsFollowedByThePipelinedRequest() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/1", "", "") + request("/2", "", ""));
         HandledRequest handled = service.next();
-        onLoop(handled, connection -> connection.beginAnswer(200, List.of(new Headers.Field("Own", "x"))));
-        Wire.Message head = client.readHead();
+        onLoop(handled, connection -> connection.startResponse(200, List.of(new Headers.Field("Own", "x"))));
+        TestPeer.Message head = client.readHead();
         assertEquals("chunked", head.header("Transfer-Encoding"));
         assertNull(head.header("Content-Length"));
         assertEquals("x", head.header("Own"));
@@ -479,7 +479,7 @@
         writePart(handled, "two".repeat(10));
         assertEquals("two".repeat(10), client.readChunk());
         assertTrue(service.handled.isEmpty());
-        onLoop(handled, InboundConnection::endAnswer);
+        onLoop(handled, InboundConnection::endResponse);
         assertEquals("", client.readChunk());
         HandledRequest next = service.next();
         assertEquals("/2", next.request().target());
@@ -489,13 +489,13 @@
 
     @Test
     void aStreamWithConnectionCloseIsTheLastOfItsConnection() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/", "Connection: close\r\n", ""));
         HandledRequest handled = service.next();
         beginResponse(handled);
         assertEquals("close", client.readHead().header("Connection"));
         writePart(handled, "one");
-        onLoop(handled, InboundConnection::endAnswer);
+        onLoop(handled, InboundConnection::endResponse);
         assertEquals("one", client.readChunk());
         assertEquals("", client.readChunk());
         assertNull(client.read());
@@ -504,13 +504,13 @@
     /** The head was sent without Connection: close before the service started to close. */
     @Test
     void aStreamThatBeganBeforeTheServiceClosesKeepsItsConnection() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/1", "", ""));
         HandledRequest handled = service.next();
         beginResponse(handled);
         assertNull(client.readHead().header("Connection"));
         service.closing = true;
-        onLoop(handled, InboundConnection::endAnswer);
+        onLoop(handled, InboundConnection::endResponse);
         assertEquals("", client.readChunk());
         client.send(request("/2", "", ""));
         respond(service.next(), 200, "");
@@ -519,11 +519,11 @@
 
     @Test
     void anAbortedResponseIsNeverComplete() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         client.send(request("/1", "", "") + request("/2", "", ""));
         HandledRequest handled = service.next();
         onLoop(handled, connection -> {
-            connection.beginAnswer(200, List.of());
+            connection.startResponse(200, List.of());
             connection.writePart(bytes("one"));
         });
         client.readHead();
@@ -545,21 +545,21 @@
     /** All calls are made in one task: the chunks are not written yet when the connection is aborted. */
     @Test
     void aResponseAbortedImmediatelyIsNeverComplete() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
         onLoop(handled, connection -> {
-            connection.beginAnswer(200, List.of());
+            connection.startResponse(200, List.of());
             connection.writePart(bytes("one"));
             connection.abort();
             connection.writePart(bytes("two"));
-            connection.endAnswer();
+            connection.endResponse();
         });
         assertFalse(client.readToEnd().endsWith("0\r\n\r\n"));
     }
 
     @Test
     void readAheadOverTheLimitAbortsAStream() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
         beginResponse(handled);
         client.send("x".repeat(80 * 1024));
@@ -573,23 +573,23 @@
 
     @Test
     void anIdleConnectionIsClosedWithoutAResponse() throws Exception {
-        Wire client = clientWithRequest();
+        TestPeer client = clientWithRequest();
         HandledRequest handled = service.next();
-        onLoop(handled, connection -> connection.endIfIdle(true)); // not closed, as a request is in progress
+        onLoop(handled, connection -> connection.closeIfIdle(true)); // not closed, as a request is in progress
         respond(handled, 200, "");
         assertEquals(200, client.read().status());
-        onLoop(handled, connection -> connection.endIfIdle(false));
+        onLoop(handled, connection -> connection.closeIfIdle(false));
         assertNull(client.read());
     }
 
     /** The request is not read yet when its connection is closed: it is not handled, and no reset is sent. */
     @Test
     void aRequestReceivedWhileItsConnectionClosesIsNotHandled() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = accepted();
         OnLoop.run(loop, () -> {
             client.send(request("/", "", ""));
-            connection.endIfIdle(false);
+            connection.closeIfIdle(false);
         });
         assertNull(client.read());
         OnLoop.run(loop, () -> {});
@@ -598,16 +598,16 @@
 
     @Test
     void aConnectionWithAPartialRequestIsClosedOnlyIfPartialRequestsAreIncluded() throws Exception {
-        Wire client = client();
+        TestPeer client = client();
         InboundConnection connection = sendPartialRequest(client);
-        OnLoop.run(loop, () -> connection.endIfIdle(false));
+        OnLoop.run(loop, () -> connection.closeIfIdle(false));
         assertFalse(connection.isClosed());
         client.send("cd");
         respond(service.next(), 200, "complete");
         assertEquals("complete", client.read().body());
         client.send("POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
-        OnLoop.await(loop, connection::isHalfRead);
-        OnLoop.run(loop, () -> connection.endIfIdle(true));
+        OnLoop.await(loop, connection::hasPartialRequest);
+        OnLoop.run(loop, () -> connection.closeIfIdle(true));
         client.send("cd");
         assertNull(client.read());
         assertTrue(service.handled.isEmpty());
--- a/transport/src/test/java/dewplank/exchange/OnLoop.java
+++ b/transport/src/test/java/dewplank/exchange/OnLoop.java
@@ -25,7 +25,7 @@
                 done.completeExceptionally(e);
             }
         });
-        return done.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
+        return done.get(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** Runs the task on the loop's thread and waits until it has completed. */
@@ -41,7 +41,7 @@
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> poll(loop, condition, done));
         try {
-            done.get(Wire.PATIENCE_S, TimeUnit.SECONDS);
+            done.get(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
         } finally {
             done.cancel(false);
         }
@@ -60,10 +60,10 @@
     }
 
     /** Waits for {@code ms} milliseconds of the loop's timers, so that all timers due earlier have run. */
-    public static void pass(EventLoop loop, double ms) throws InterruptedException {
+    public static void waitMs(EventLoop loop, double ms) throws InterruptedException {
         CountDownLatch passed = new CountDownLatch(1);
         loop.execute(() -> loop.after(ms, passed::countDown));
-        if (!passed.await((long) ms + Wire.PATIENCE_S * 1000L, TimeUnit.MILLISECONDS)) {
+        if (!passed.await((long) ms + TestPeer.TIMEOUT_S * 1000L, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the loop's timers do not run");
         }
     }
--- a/transport/src/test/java/dewplank/exchange/ScriptedServer.java
+++ b/transport/src/test/java/dewplank/exchange/ScriptedServer.java
@@ -22,15 +22,15 @@
     private final ReservedPort refusing;
 
     private final BlockingQueue<Call> calls;
-    private final BlockingQueue<Wire> accepted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<TestPeer> accepted = new LinkedBlockingQueue<>();
     private final boolean readsRequests;
     private final CountDownLatch open = new CountDownLatch(1);
     private final List<Socket> backlogFillers = new ArrayList<>();
-    private final List<Wire> wires = new ArrayList<>();
+    private final List<TestPeer> peers = new ArrayList<>();
     private final Thread accepting;
 
     /** A complete request, the connection on which it arrived, and the server that received it. */
-    public record Call(ScriptedServer server, Wire wire, Wire.Message message) {}
+    public record Call(ScriptedServer server, TestPeer peer, TestPeer.Message message) {}
 
     /** Creates a server with its own queue of calls. */
     public ScriptedServer() throws IOException {
@@ -65,14 +65,17 @@
     }
 
     /** Returns a server that reads nothing: the test reads its connections. */
-    public static ScriptedServer raw() throws IOException {
+    public static ScriptedServer withoutReading() throws IOException {
         ScriptedServer server = new ScriptedServer(new LinkedBlockingQueue<>(), false, 50);
         server.open.countDown();
         return server;
     }
 
-    /** Returns a server to which connections are established only after {@link #letIn}, at the next SYN retry. */
-    public static ScriptedServer late(BlockingQueue<Call> calls) throws IOException {
+    /**
+     * Returns a server to which connections are established only after {@link #acceptConnections}, at the next SYN
+     * retry.
+     */
+    public static ScriptedServer withDelayedAccept(BlockingQueue<Call> calls) throws IOException {
         ScriptedServer server = new ScriptedServer(calls, true, 1);
         for (int i = 0; i < 2; i++) { // the system's backlog is the argument plus one
             server.backlogFillers.add(new Socket(
@@ -81,8 +84,8 @@
         return server;
     }
 
-    /** Allows connections to a server created by {@link #late} to be established. */
-    public void letIn() throws IOException {
+    /** Allows connections to a server created by {@link #withDelayedAccept} to be established. */
+    public void acceptConnections() throws IOException {
         for (Socket filler : backlogFillers) {
             filler.close();
         }
@@ -92,26 +95,26 @@
     private void accept() throws IOException, InterruptedException {
         open.await();
         while (true) {
-            Wire wire = new Wire(listener.accept());
-            synchronized (wires) {
-                wires.add(wire);
+            TestPeer peer = new TestPeer(listener.accept());
+            synchronized (peers) {
+                peers.add(peer);
             }
-            accepted.add(wire);
+            accepted.add(peer);
             if (readsRequests) {
-                background(() -> serve(wire));
+                background(() -> serve(peer));
             }
         }
     }
 
-    private void serve(Wire wire) {
+    private void serve(TestPeer peer) {
         try {
-            for (Wire.Message message = wire.read(); message != null; message = wire.read()) {
-                calls.add(new Call(this, wire, message));
+            for (TestPeer.Message message = peer.read(); message != null; message = peer.read()) {
+                calls.add(new Call(this, peer, message));
             }
         } catch (IOException e) {
             // a broken connection counts as closed
         } finally {
-            wire.markClosedByPeer();
+            peer.markClosedByPeer();
         }
     }
 
@@ -148,7 +151,7 @@
 
     /** Returns the next request of a queue, waiting for it if necessary. */
     public static Call next(BlockingQueue<Call> calls) throws InterruptedException {
-        Call call = calls.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
+        Call call = calls.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
         if (call == null) {
             throw new AssertionError("no request was received");
         }
@@ -156,16 +159,16 @@
     }
 
     /** Returns the next connection, with or without a request on it. */
-    public Wire nextConnection() throws InterruptedException {
-        Wire wire = accepted.poll(Wire.PATIENCE_S, TimeUnit.SECONDS);
-        if (wire == null) {
+    public TestPeer nextConnection() throws InterruptedException {
+        TestPeer peer = accepted.poll(TestPeer.TIMEOUT_S, TimeUnit.SECONDS);
+        if (peer == null) {
             throw new AssertionError("no connection was accepted");
         }
-        return wire;
+        return peer;
     }
 
     /** Number of accepted connections that {@link #nextConnection} has not returned yet. */
-    public int connectionsWaiting() {
+    public int pendingConnections() {
         return accepted.size();
     }
 
@@ -183,9 +186,9 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        synchronized (wires) {
-            for (Wire wire : wires) {
-                wire.close();
+        synchronized (peers) {
+            for (TestPeer peer : peers) {
+                peer.close();
             }
         }
         for (Socket filler : backlogFillers) {
--- a/transport/src/test/java/dewplank/exchange/Wire.java
+++ b/transport/src/test/java/dewplank/exchange/TestPeer.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /** A peer's end of a connection, on a plain socket: the test determines what is sent and when. */
-public final class Wire implements Closeable {
+public final class TestPeer implements Closeable {
     /** Time limit of a failing test. */
-    public static final int PATIENCE_S = 5;
+    public static final int TIMEOUT_S = 5;
 
     private final Socket socket;
     private final InputStream input;
@@ -59,16 +59,16 @@
         }
     }
 
-    Wire(Socket socket) throws IOException {
+    TestPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_S * 1000);
+        socket.setSoTimeout(TIMEOUT_S * 1000);
         socket.setTcpNoDelay(true);
         input = new BufferedInputStream(socket.getInputStream());
     }
 
     /** Opens a connection to the address. */
-    public static Wire to(InetSocketAddress address) throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    public static TestPeer to(InetSocketAddress address) throws IOException {
+        return new TestPeer(new Socket(address.getAddress(), address.getPort()));
     }
 
     /** Sends the text unchanged, one byte per character. */
@@ -77,7 +77,7 @@
     }
 
     /** Sends a response with a Content-Length. */
-    public void answer(String status, String fields, String body) throws IOException {
+    public void respond(String status, String fields, String body) throws IOException {
         send("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
@@ -192,14 +192,14 @@
     }
 
     /** Waits until the other side has closed the connection; only for connections read in the background. */
-    public void awaitEnd() throws InterruptedException {
-        if (!ended.await(PATIENCE_S, TimeUnit.SECONDS)) {
+    public void awaitClose() throws InterruptedException {
+        if (!ended.await(TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new AssertionError("the connection is still open");
         }
     }
 
     /** Whether the background thread has detected that the other side closed the connection. */
-    public boolean isEnded() {
+    public boolean isClosedByPeer() {
         return ended.getCount() == 0;
     }
 
--- a/transport/src/test/java/dewplank/net/EventLoopTest.java
+++ b/transport/src/test/java/dewplank/net/EventLoopTest.java
@@ -77,7 +77,7 @@
     static Stream<Throwable> failures() {
         return Stream.of(
                 new IllegalStateException("test failure"),
-                new NoClassDefFoundError("MissingClass"),
+                new NoClassDefFoundError("AbsentType"),
                 new StackOverflowError());
     }
 
