--- a/simulation/src/test/java/dewplank/simulation/ContactTracker.java
+++ b/simulation/src/test/java/dewplank/simulation/ContactTracker.java
@@ -20,15 +20,15 @@
     }
 
     /**
-     * Permits faults at shorter intervals than the fault tolerance. A machine that started with an empty disk then
-     * counts as lost until it has been connected for catch_up_s to a machine that reaches a majority.
+     * Permits faults at shorter intervals than the fault tolerance allows. A machine that started with an empty disk
+     * then counts as lost until it has been connected for catch_up_s to a machine that reaches a majority.
      */
-    void beyondTolerance() {
+    void allowFaultsBeyondTolerance() {
         beyondTolerance = true;
     }
 
     /** Records that a core machine starts with an empty disk while the fleet is running. */
-    void startedWithEmptyDisk(ControlMachine machine) {
+    void recordStartWithEmptyDisk(ControlMachine machine) {
         connectedMs.put(machine, 0.0);
     }
 
@@ -45,7 +45,7 @@
         coreFaultAt = fleet.time().now();
     }
 
-    /** Until that time no data plane counts as in contact, as the acceptors are not a majority of the core. */
+    /** Counts no data plane as in contact until the given time, as the acceptors are not a majority of the core. */
     void suppressContactUntil(double atMs) {
         noContactUntilMs = atMs;
     }
@@ -94,8 +94,8 @@
                 && connectedMs.getOrDefault(machine, SimulatedFleet.CATCH_UP_MS) < SimulatedFleet.CATCH_UP_MS;
     }
 
-    private boolean isConnected(Machine one, Machine other) {
-        return fleet.network().reaches(one, other) && fleet.network().reaches(other, one);
+    private boolean isConnected(Machine first, Machine second) {
+        return fleet.network().reaches(first, second) && fleet.network().reaches(second, first);
     }
 
     boolean isInContact(DataMachine data) {
--- a/simulation/src/test/java/dewplank/simulation/ControlMachine.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlMachine.java
@@ -23,7 +23,7 @@
     private final SimulatedDiskExecutor.DiskFaults diskFaults = new SimulatedDiskExecutor.DiskFaults();
     private List<String> seeds;
     private boolean initialStart;
-    private boolean settingsStayInitial;
+    private boolean keepsInitialStart;
     private ControlProcess process;
     private SimulatedDiskExecutor executor;
     private String incarnationName;
@@ -71,7 +71,10 @@
         return diskFaults;
     }
 
-    /** Replaces the settings file; a running process reloads it, another one reads it at its next start. */
+    /**
+     * Replaces the seeds in the settings file. A running process reloads the file; otherwise it is read at the next
+     * start.
+     */
     void changeSeeds(List<String> next) {
         seeds = next;
         if (process != null) {
@@ -80,8 +83,8 @@
     }
 
     /** Keeps {@code initial_start} set in the settings when the process restarts. */
-    void keepInitialSettings() {
-        settingsStayInitial = true;
+    void keepInitialStart() {
+        keepsInitialStart = true;
     }
 
     /** Replaces the disk with an empty one while the machine is down. */
@@ -110,7 +113,7 @@
             fleet().log(name() + ": " + e.getMessage());
             return false;
         }
-        initialStart = initialStart && (settingsStayInitial || process.isDiskRefused());
+        initialStart = initialStart && (keepsInitialStart || process.isDiskRefused());
         process.start();
         return true;
     }
--- a/simulation/src/test/java/dewplank/simulation/ControlPlaneHistoriesTest.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlPlaneHistoriesTest.java
@@ -26,7 +26,7 @@
         int histories = Integer.getInteger("histories", System.getProperty("seed") == null ? DEFAULT_HISTORIES : 1);
         Map<Long, Throwable> failures = new ConcurrentSkipListMap<>();
         AtomicLong responses = new AtomicLong();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         LongStream.range(first, first + histories).parallel().forEach(seed -> {
             History history = new History(seed);
             try {
@@ -38,7 +38,7 @@
         });
         System.out.printf(
                 "histories: %d from seed %d, %d responses to operators, %d failed, %.1f s%n",
-                histories, first, responses.get(), failures.size(), (System.nanoTime() - began) / 1e9);
+                histories, first, responses.get(), failures.size(), (System.nanoTime() - startNanos) / 1e9);
         Map<Long, String> shown = new TreeMap<>();
         failures.forEach((seed, failure) -> {
             if (shown.size() < MAX_SHOWN_FAILURES) {
--- a/simulation/src/test/java/dewplank/simulation/ControlStateFaultsTest.java
+++ b/simulation/src/test/java/dewplank/simulation/ControlStateFaultsTest.java
@@ -66,22 +66,22 @@
         }
     }
 
-    /** Point 2: two changes on one base with one version are never both confirmed. */
+    /** Point 2: of two changes with the same base and the same version, never both are confirmed. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void exactlyOneOfTwoChangesWithTheSameVersionIsConfirmed(long seed) {
         Schedule schedule = new Schedule(seed, 3);
         for (int i = 0; i < 20; i++) {
-            OperatorChange one = schedule.operators.newChange();
-            OperatorChange other = schedule.operators.newChange();
-            assertEquals(one.version, other.version);
-            schedule.operators.send(one, done -> {});
+            OperatorChange first = schedule.operators.newChange();
+            OperatorChange second = schedule.operators.newChange();
+            assertEquals(first.version, second.version);
+            schedule.operators.send(first, done -> {});
             schedule.run(i % 5);
-            schedule.operators.send(other, done -> {});
+            schedule.operators.send(second, done -> {});
             schedule.runUntil(SimulatedFleet.ACK_MS, "both have a response", () -> schedule.operators
-                    .open()
+                    .openChanges()
                     .isEmpty());
-            assertTrue(one.state != other.state, "both are " + one.state);
+            assertTrue(first.state != second.state, "both are " + first.state);
         }
     }
 
--- a/simulation/src/test/java/dewplank/simulation/FaultInjector.java
+++ b/simulation/src/test/java/dewplank/simulation/FaultInjector.java
@@ -32,8 +32,8 @@
 
     // ---- within the tolerance --------------------------------------------------------------------------------
 
-    /** Injects faults into one counted machine after the other; no fault begins after {@code end}. */
-    void injectTolerated(double from, double end) {
+    /** Injects faults into one machine at a time, as the tolerance allows; no fault begins after {@code end}. */
+    void injectWithinTolerance(double from, double end) {
         endMs = end;
         fleet.time().at(from, this::injectNextFault);
         fleet.time().at(from + random.nextDouble() * MEAN_INTERVAL_MS, this::injectUncounted);
@@ -101,7 +101,7 @@
             machine.losePower();
         }
         machine.wipe();
-        fleet.contact().startedWithEmptyDisk(machine);
+        fleet.contact().recordStartWithEmptyDisk(machine);
         restartAfter(machine, durationMs, recovered);
     }
 
@@ -132,7 +132,7 @@
         fleet.time().after(delayMs, () -> {
             ControlMachine successor = fleet.addControlMachine(seeds, false);
             fleet.contact().recordFault(successor);
-            fleet.contact().startedWithEmptyDisk(successor);
+            fleet.contact().recordStartWithEmptyDisk(successor);
             successor.start();
             recovered.run();
         });
@@ -269,9 +269,9 @@
     // ---- beyond the tolerance --------------------------------------------------------------------------------
 
     /** Injects any number of faults at the same time; at most one machine loses its disk. */
-    void injectUnbounded(double from, double end) {
+    void injectBeyondTolerance(double from, double end) {
         endMs = end;
-        fleet.contact().beyondTolerance();
+        fleet.contact().allowFaultsBeyondTolerance();
         fleet.time().at(from, this::injectAnyFault);
         fleet.time().at(from + random.nextDouble() * MEAN_INTERVAL_MS, this::injectUncounted);
     }
@@ -295,7 +295,7 @@
         fleet.time().after(random.nextDouble() * 2 * MEAN_INTERVAL_MS, this::injectAnyFault);
     }
 
-    /** Kills all processes or cuts the power of all machines, either of the core alone or of the whole fleet. */
+    /** Kills the processes or cuts the power of all core machines, or of all machines of the fleet. */
     void failAll(boolean powerLost, boolean includesEdge) {
         for (Machine machine : includesEdge ? fleet.machines() : fleet.core()) {
             double durationMs = random.nextDouble() * 1_000;
--- a/simulation/src/test/java/dewplank/simulation/FounderRestartTest.java
+++ b/simulation/src/test/java/dewplank/simulation/FounderRestartTest.java
@@ -32,7 +32,10 @@
     private static final double MAX_DOWN_MS = 1_000;
     private static final double CHANGES_UNTIL_MS = 6_000;
     private static final double MEAN_INTERVAL_MS = 250;
-    /** A restarted bootstrap first waits for catch_up_s, and for another catch_up_s if a machine starts meanwhile. */
+    /**
+     * Time limit of a recovery. A restarted bootstrap first waits for catch_up_s, and for another catch_up_s if a
+     * machine starts meanwhile.
+     */
     private static final double MAX_RECOVERY_MS = SimulatedFleet.RECOVERY_MS + 2 * SimulatedFleet.CATCH_UP_MS;
 
     private static final double MAX_PAUSED_MS = 200;
@@ -44,7 +47,7 @@
     private static final double FULL_DISK_MS = 8_000;
     private static final double STEP_MS = 50;
     private static final double PARTITION_STEP_MS = 2;
-    /** Several times catch_up_s, the time after which a bootstrap may restart. */
+    /** Length of a partition: several times catch_up_s, the time after which a bootstrap may restart. */
     private static final double PARTITION_MS = 4 * SimulatedFleet.CATCH_UP_MS;
 
     /** Which machines restart. */
@@ -60,8 +63,8 @@
         long seed = 1;
         for (int relays : new int[] {0, 1, 2, 3}) {
             for (RestartedMachines restarted : RestartedMachines.values()) {
-                for (boolean staysInitial : new boolean[] {true, false}) {
-                    restarts.add(Arguments.of(seed++, relays, restarted, staysInitial));
+                for (boolean keepsInitialStart : new boolean[] {true, false}) {
+                    restarts.add(Arguments.of(seed++, relays, restarted, keepsInitialStart));
                 }
             }
         }
@@ -71,16 +74,16 @@
     @ParameterizedTest
     @MethodSource("restarts")
     void aFleetIsFoundedOnceWhenMachinesRestartDuringBootstrap(
-            long seed, int relays, RestartedMachines restarted, boolean staysInitial) {
+            long seed, int relays, RestartedMachines restarted, boolean keepsInitialStart) {
         for (double killAtMs = 0; killAtMs <= LAST_KILL_MS; killAtMs += KILL_STEP_MS) {
             SplittableRandom random = new SplittableRandom(seed * 1_000_003 + (long) killAtMs);
             SimulatedFleet fleet = new SimulatedFleet(3 + random.nextInt(3), relays, 3, random.split());
             List<Machine> killed = restarted == RestartedMachines.ALL ? fleet.machines() : List.copyOf(fleet.relays());
-            if (staysInitial) {
-                fleet.relays().forEach(ControlMachine::keepInitialSettings);
-                fleet.core().forEach(ControlMachine::keepInitialSettings);
+            if (keepsInitialStart) {
+                fleet.relays().forEach(ControlMachine::keepInitialStart);
+                fleet.core().forEach(ControlMachine::keepInitialStart);
             }
-            fleet.contact().beyondTolerance();
+            fleet.contact().allowFaultsBeyondTolerance();
             FaultInjector faults = new FaultInjector(fleet, random.split());
             boolean powerLost = random.nextBoolean();
             fleet.time().after(killAtMs, () -> restartAll(killed, faults, powerLost, random));
@@ -92,14 +95,14 @@
     @ParameterizedTest
     @MethodSource("restarts")
     void aFleetIsFoundedOnceWhenFoundersRestartOneAfterAnother(
-            long seed, int relays, RestartedMachines restarted, boolean staysInitial) {
+            long seed, int relays, RestartedMachines restarted, boolean keepsInitialStart) {
         for (double killAtMs = 0; killAtMs <= LAST_KILL_MS; killAtMs += KILL_STEP_MS) {
             SplittableRandom random = new SplittableRandom(seed * 7_000_003 + (long) killAtMs);
             SimulatedFleet fleet = new SimulatedFleet(3 + random.nextInt(3), relays, 3, random.split());
-            if (staysInitial) {
-                fleet.relays().forEach(ControlMachine::keepInitialSettings);
+            if (keepsInitialStart) {
+                fleet.relays().forEach(ControlMachine::keepInitialStart);
             }
-            fleet.contact().beyondTolerance();
+            fleet.contact().allowFaultsBeyondTolerance();
             FaultInjector faults = new FaultInjector(fleet, random.split());
             double atMs = killAtMs;
             for (ControlMachine relay : fleet.relays()) {
@@ -120,8 +123,8 @@
         for (double killAtMs = 500; killAtMs <= LAST_KILL_MS; killAtMs += SHORT_STEP_MS) {
             SplittableRandom random = new SplittableRandom(seed * 11_000_003 + (long) killAtMs);
             SimulatedFleet fleet = new SimulatedFleet(5, 3, 1, random.split());
-            fleet.relays().forEach(ControlMachine::keepInitialSettings);
-            fleet.contact().beyondTolerance();
+            fleet.relays().forEach(ControlMachine::keepInitialStart);
+            fleet.contact().allowFaultsBeyondTolerance();
             FaultInjector faults = new FaultInjector(fleet, random.split());
             fleet.time().after(killAtMs, () -> fleet.relays()
                     .forEach(relay -> faults.kill(relay, random.nextDouble() * SHORT_STEP_MS, () -> {})));
@@ -140,8 +143,8 @@
     void noSecondFleetIsFoundedWhileTheFirstIsUnreachable(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedFleet fleet = new SimulatedFleet(5, 3, 3, random.split());
-        fleet.relays().forEach(ControlMachine::keepInitialSettings);
-        fleet.contact().beyondTolerance();
+        fleet.relays().forEach(ControlMachine::keepInitialStart);
+        fleet.contact().allowFaultsBeyondTolerance();
         Operators operators = new Operators(fleet, random.split());
         FaultInjector faults = new FaultInjector(fleet, random.split());
         List<ControlMachine> founding = fleet.core().subList(0, 4);
@@ -178,8 +181,8 @@
     void noSecondFleetIsFoundedWhileAPausedProposerHasUncountedVotes(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedFleet fleet = new SimulatedFleet(3, 3, 3, random.split());
-        fleet.relays().forEach(ControlMachine::keepInitialSettings);
-        fleet.contact().beyondTolerance();
+        fleet.relays().forEach(ControlMachine::keepInitialStart);
+        fleet.contact().allowFaultsBeyondTolerance();
         FaultInjector faults = new FaultInjector(fleet, random.split());
         Set<Machine> proposers = new HashSet<>();
         List<Machine> paused = new ArrayList<>();
@@ -233,7 +236,7 @@
     void writingFounderIdentitiesToAFullDiskIsRetriedOnceASecond(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedFleet fleet = new SimulatedFleet(3, 3, 1, random.split());
-        fleet.contact().beyondTolerance();
+        fleet.contact().allowFaultsBeyondTolerance();
         ControlMachine full = fleet.core().get((int) (seed % 3));
         List<ControlMachine> others = new ArrayList<>(fleet.core());
         others.remove(full);
@@ -266,15 +269,15 @@
     }
 
     private static void setPartitioned(
-            SimulatedFleet fleet, List<ControlMachine> some, List<ControlMachine> others, boolean partitioned) {
-        for (ControlMachine one : some) {
+            SimulatedFleet fleet, List<ControlMachine> group, List<ControlMachine> others, boolean partitioned) {
+        for (ControlMachine machine : group) {
             for (ControlMachine other : others) {
                 if (partitioned) {
-                    fleet.network().partition(one.ip(), other.ip());
-                    fleet.network().partition(other.ip(), one.ip());
+                    fleet.network().partition(machine.ip(), other.ip());
+                    fleet.network().partition(other.ip(), machine.ip());
                 } else {
-                    fleet.network().heal(one.ip(), other.ip());
-                    fleet.network().heal(other.ip(), one.ip());
+                    fleet.network().heal(machine.ip(), other.ip());
+                    fleet.network().heal(other.ip(), machine.ip());
                 }
             }
         }
--- a/simulation/src/test/java/dewplank/simulation/History.java
+++ b/simulation/src/test/java/dewplank/simulation/History.java
@@ -12,12 +12,12 @@
     private static final double FAULTS_FROM_MS = 1_500;
     private static final double MIN_FAULT_PERIOD_MS = 2_500;
     private static final double MAX_EXTRA_FAULT_PERIOD_MS = 3_000;
-    /** Leaves time for a second fault, catch_up_s after the first. */
+    /** Additional fault period within the tolerance: leaves time for a second fault, catch_up_s after the first. */
     private static final double EXTRA_FAULT_PERIOD_WITHIN_TOLERANCE_MS = 6_000;
 
     private static final double MIN_FAULT_FREE_MS = 2_500;
     private static final double MEAN_INTERVAL_MS = 250;
-    /** After the last fault a restarted process connects and fetches its state, and a removed acceptor is replaced. */
+    /** Time limit to catch up: a restarted process connects and fetches its state, a removed acceptor is replaced. */
     private static final double MAX_CATCH_UP_MS = 12_000;
 
     private static final double STEP_MS = 100;
@@ -47,9 +47,10 @@
         fleet.platform().changePeriodically(end);
         operators.start(end, MEAN_INTERVAL_MS);
         if (withinTolerance) {
-            faults.injectTolerated(FAULTS_FROM_MS + (fleet.core().size() > 3 ? SimulatedFleet.CATCH_UP_MS : 500), end);
+            faults.injectWithinTolerance(
+                    FAULTS_FROM_MS + (fleet.core().size() > 3 ? SimulatedFleet.CATCH_UP_MS : 500), end);
         } else {
-            faults.injectUnbounded(FAULTS_FROM_MS, end);
+            faults.injectBeyondTolerance(FAULTS_FROM_MS, end);
         }
         checkResponseTimes();
         fleet.time().runUntil(end);
@@ -65,7 +66,7 @@
             fleet.invariants()
                     .check(
                             done || now < faultsEndedAt + MAX_CATCH_UP_MS,
-                            "a process lags long after the last fault: " + describeLag());
+                            "a process has not caught up long after the last fault: " + describeLag());
         }
         checkAllReads();
         return fleet.invariants().digest();
@@ -78,7 +79,7 @@
     /** Checks that changes get a response in time while the core is stable and no link has a fault. */
     private void checkResponseTimes() {
         double now = fleet.time().now();
-        for (OperatorChange change : operators.open()) {
+        for (OperatorChange change : operators.openChanges()) {
             double since = Math.max(change.startedAt, fleet.contact().faultFreeSince());
             fleet.invariants()
                     .check(now - since <= SimulatedFleet.ACK_MS, change + " has had no response since " + since);
@@ -91,8 +92,8 @@
     }
 
     private String describeLag() {
-        if (!operators.open().isEmpty()) {
-            return operators.open().get(0) + " has no response";
+        if (!operators.openChanges().isEmpty()) {
+            return operators.openChanges().get(0) + " has no response";
         }
         Set<AcceptorId> live = new HashSet<>();
         long newest = fleet.invariants().versionFloor();
--- a/simulation/src/test/java/dewplank/simulation/InvariantChecker.java
+++ b/simulation/src/test/java/dewplank/simulation/InvariantChecker.java
@@ -40,14 +40,14 @@
         this.contact = new ContactTracker(fleet);
     }
 
-    void check(boolean holds, String rule) {
-        if (!holds) {
+    void check(boolean condition, String message) {
+        if (!condition) {
             throw new AssertionError(
-                    String.format("at %.1f ms: %s", fleet.time().now(), rule));
+                    String.format("at %.1f ms: %s", fleet.time().now(), message));
         }
     }
 
-    /** Adds a line to the digest by which two runs of one seed are compared. */
+    /** Adds a line to the digest that is used to compare two runs of the same seed. */
     void addToDigest(String line) {
         digest = digest * 31 + line.hashCode();
         digest = digest * 31 + Double.hashCode(fleet.time().now());
@@ -116,10 +116,10 @@
                     && otherControl.incarnation().hasEnded()) {
                 continue;
             }
-            boolean bothHold = otherControl != control
+            boolean bothHaveLease = otherControl != control
                     && otherControl.isRunning()
                     && otherControl.process().isListLeaseHolder();
-            check(!bothHold, entry.getValue() + " and " + incarnation + " have the lease at the same time");
+            check(!bothHaveLease, entry.getValue() + " and " + incarnation + " have the lease at the same time");
         }
     }
 
@@ -149,7 +149,7 @@
         addToDigest(data.name() + " has version " + version + " and list " + Arrays.toString(listVersion));
     }
 
-    /** Discards the recorded state of a terminated data plane: its next incarnation starts without any. */
+    /** Discards the recorded state of a terminated data plane: its next incarnation starts without state. */
     void onProcessEnded(DataMachine data) {
         lastAppliedByMachine.remove(data);
     }
@@ -241,11 +241,11 @@
             if (!contact.isInContact(data)) {
                 continue;
             }
-            long needed = due == null ? 0 : newestVersionUntil(due.getKey());
+            long requiredVersion = due == null ? 0 : newestVersionUntil(due.getKey());
             check(
-                    data.process().version() >= needed,
+                    data.process().version() >= requiredVersion,
                     data.name() + " is in contact and has version "
-                            + data.process().version() + ", " + needed + " was acknowledged too long ago");
+                            + data.process().version() + ", " + requiredVersion + " was acknowledged too long ago");
             if (!removed.isEmpty()) {
                 Set<String> listed = data.process().instances();
                 Set<String> stillListed = new HashSet<>(removed);
--- a/simulation/src/test/java/dewplank/simulation/Machine.java
+++ b/simulation/src/test/java/dewplank/simulation/Machine.java
@@ -98,7 +98,7 @@
         clockStepMs += ms;
     }
 
-    /** The machine's wall-clock time; the true time plus the steps made by {@link #stepClock}. */
+    /** The machine's wall-clock time; a fixed date plus the virtual time and the steps made by {@link #stepClock}. */
     long wallClockMs() {
         return (long) (1_700_000_000_000L + fleet.time().now() + clockStepMs);
     }
--- a/simulation/src/test/java/dewplank/simulation/MachineScheduleTest.java
+++ b/simulation/src/test/java/dewplank/simulation/MachineScheduleTest.java
@@ -16,11 +16,14 @@
     private static final double QUOTA_RUN_MS = 30;
     private static final double QUOTA_PAUSE_MS = 70;
     private static final double QUOTA_MS = 20_000;
-    /** Covers a session's lease (2 s), a heartbeat between control planes and a data plane's next connect attempt. */
+    /**
+     * Time that covers a session's lease (2 s), a heartbeat between control planes and a data plane's next connect
+     * attempt.
+     */
     private static final double SESSION_MS = 3_500;
-    /** A quarter of {@code disk_mb}; a larger store is rewritten. */
+    /** The size above which the store is rewritten: a quarter of {@code disk_mb}. */
     private static final long STORE_LIMIT_BYTES = (2L << 20) / 4;
-    /** Longer than any lease, session or agreement. */
+    /** The step by which clocks are set back: longer than any lease, session or agreement. */
     private static final double CLOCK_STEP_MS = 60_000;
 
     static LongStream seeds() {
@@ -32,7 +35,7 @@
     @MethodSource("seeds")
     void acknowledgedChangesSurviveASimultaneousPowerLoss(long seed) {
         Schedule schedule = new Schedule(seed, 3 + (int) (seed % 3));
-        for (int turn = 0; turn < 4; turn++) {
+        for (int round = 0; round < 4; round++) {
             schedule.makeChange();
             loseAllPower(schedule);
         }
@@ -47,7 +50,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (boolean grows : new boolean[] {true, false}) {
             Schedule schedule = new Schedule(seed, 3);
-            schedule.fleet.contact().beyondTolerance();
+            schedule.fleet.contact().allowFaultsBeyondTolerance();
             schedule.makeChanges(3);
             if (grows) {
                 addAndStart(schedule);
@@ -60,17 +63,18 @@
             loseAllPower(schedule);
             schedule.makeChanges(2);
             schedule.awaitAllCaughtUp(SimulatedFleet.RECOVERY_MS);
-            schedule.runUntil(SimulatedFleet.RECOVERY_MS, "the set is complete", () -> isSetComplete(schedule));
+            schedule.runUntil(
+                    SimulatedFleet.RECOVERY_MS, "the acceptor set is complete", () -> isAcceptorSetComplete(schedule));
         }
     }
 
     private static void addAndStart(Schedule schedule) {
         ControlMachine started = schedule.fleet.addControlMachine(schedule.fleet.firstSeeds(), false);
-        schedule.fleet.contact().startedWithEmptyDisk(started);
+        schedule.fleet.contact().recordStartWithEmptyDisk(started);
         started.start();
     }
 
-    private static boolean isSetComplete(Schedule schedule) {
+    private static boolean isAcceptorSetComplete(Schedule schedule) {
         List<String> identities = schedule.fleet.core().stream()
                 .map(control -> control.process().identity())
                 .toList();
@@ -98,14 +102,14 @@
 
     /**
      * Under a processor quota a process runs for 30 ms of each 100 ms and is paused for 70 ms, on some machines or on
-     * all. This costs no lease and no session, and changes are confirmed in time.
+     * all. No lease and no session is lost, and changes are confirmed in time.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 6})
     void noLeaseIsLostUnderAProcessorQuota(int machines) {
         for (long seed = 1; seed <= 5; seed++) {
             Schedule schedule = new Schedule(seed, 3);
-            ControlMachine holder = holder(schedule);
+            ControlMachine holder = awaitLeaseHolder(schedule);
             long token = holder.process().fencingToken();
             double untilMs = schedule.fleet.time().now() + QUOTA_MS;
             SplittableRandom random = new SplittableRandom(seed);
@@ -127,7 +131,7 @@
         }
     }
 
-    private static ControlMachine holder(Schedule schedule) {
+    private static ControlMachine awaitLeaseHolder(Schedule schedule) {
         schedule.runUntil(
                 SimulatedFleet.CONTACT_MS, "a control plane has the lease", () -> schedule.fleet.core().stream()
                         .anyMatch(control -> control.process().isListLeaseHolder()));
@@ -143,7 +147,7 @@
     void restartsWithClocksSetBackLoseNoChange(long seed) {
         Schedule schedule = new Schedule(seed, 3);
         SplittableRandom random = new SplittableRandom(seed);
-        for (int turn = 0; turn < 4; turn++) {
+        for (int round = 0; round < 4; round++) {
             ControlMachine control = schedule.core(random.nextInt(3));
             DataMachine data = schedule.fleet.edge().get(random.nextInt(3));
             control.stepClock(-CLOCK_STEP_MS);
@@ -176,7 +180,7 @@
             schedule.faults.kill(restarted, downMs, () -> {});
         }
         schedule.run(downMs + SESSION_MS);
-        long present = restarted.incarnationAtStart();
+        long currentIncarnation = restarted.incarnationAtStart();
         for (ControlMachine control : schedule.fleet.core()) {
             List<Member> members = control.process().members();
             assertEquals(3, members.size());
@@ -184,7 +188,7 @@
                     .filter(member -> member.node.equals(restarted.name()))
                     .findFirst()
                     .orElseThrow();
-            assertEquals(present, listed.incarnation);
+            assertEquals(currentIncarnation, listed.incarnation);
         }
     }
 
--- a/simulation/src/test/java/dewplank/simulation/Operators.java
+++ b/simulation/src/test/java/dewplank/simulation/Operators.java
@@ -87,7 +87,7 @@
         return OperatorChange.patch(lastId, base, version, random.nextInt(12) != 0, now);
     }
 
-    /** Creates a valid change of the newest version that the operators know. */
+    /** Creates a valid change whose base is the newest version known to the operators. */
     OperatorChange newChange() {
         long base = markersByVersion.lastKey();
         if (base == 0) {
@@ -129,7 +129,7 @@
         attempt(change, callback);
     }
 
-    List<OperatorChange> open() {
+    List<OperatorChange> openChanges() {
         return open;
     }
 
--- a/simulation/src/test/java/dewplank/simulation/PartitionScheduleTest.java
+++ b/simulation/src/test/java/dewplank/simulation/PartitionScheduleTest.java
@@ -22,7 +22,7 @@
 class PartitionScheduleTest {
     private static final double PARTITION_MS = 6_000;
     private static final double MEAN_INTERVAL_MS = 250;
-    private static final Set<Integer> DEFINITE = Set.of(200, 400, 404, 409, 412);
+    private static final Set<Integer> DEFINITE_STATUSES = Set.of(200, 400, 404, 409, 412);
 
     static LongStream seeds() {
         return LongStream.rangeClosed(1, 12);
@@ -42,15 +42,18 @@
         return Stream.of(Moment.values()).flatMap(moment -> seeds().mapToObj(seed -> Arguments.of(moment, seed)));
     }
 
-    /** The delayed messages arrive when the partition heals, after other changes. */
+    /**
+     * Partitions begin while a change is being chosen. The messages that they delay arrive when they heal, after other
+     * changes.
+     */
     @ParameterizedTest
     @MethodSource("moments")
     void aChangeIsAppliedOnceWhenAPartitionBeginsDuringItsPhases(Moment moment, long seed) {
         Schedule schedule = new Schedule(seed, 3 + (int) (seed % 3));
-        schedule.fleet.contact().beyondTolerance();
+        schedule.fleet.contact().allowFaultsBeyondTolerance();
         Set<Machine> isolated = new HashSet<>();
         schedule.fleet.network().setSendObserver((link, message) -> {
-            if (isAt(moment, message, isolated) && isolated.add(link.from())) {
+            if (isAtMoment(moment, message, isolated) && isolated.add(link.from())) {
                 schedule.setPartitioned(link.from(), schedule.fleet.machines(), true);
             }
         });
@@ -59,10 +62,10 @@
         assertFalse(isolated.isEmpty());
         schedule.fleet.network().setSendObserver((link, message) -> {});
         isolated.forEach(machine -> schedule.setPartitioned(machine, schedule.fleet.machines(), false));
-        settle(schedule);
+        awaitRecovery(schedule);
     }
 
-    private static boolean isAt(Moment moment, Object message, Set<Machine> isolated) {
+    private static boolean isAtMoment(Moment moment, Object message, Set<Machine> isolated) {
         return switch (moment) {
             case BEFORE_ACCEPT -> message instanceof Accept && isolated.isEmpty();
             case BEFORE_ACCEPTED -> message instanceof Accepted;
@@ -85,54 +88,57 @@
         schedule.run(SimulatedFleet.CONTACT_MS);
         schedule.makeChanges(3);
         List<String> seeds = List.of(partitioned.ip() + ":" + Machine.CONTROL_PORT);
-        ControlMachine newcomer = schedule.fleet.addControlMachine(seeds, false);
+        ControlMachine successor = schedule.fleet.addControlMachine(seeds, false);
         DataMachine data = schedule.fleet.edge().get(0);
         data.changeSeeds(seeds);
-        schedule.fleet.contact().startedWithEmptyDisk(newcomer);
-        newcomer.start();
+        schedule.fleet.contact().recordStartWithEmptyDisk(successor);
+        successor.start();
         schedule.faults.kill(data, 200, () -> {});
         schedule.run(PARTITION_MS);
-        int status = schedule.sendOnce(newcomer, schedule.operators.newPatch());
-        assertFalse(DEFINITE.contains(status), "responded with " + status);
-        assertFalse(newcomer.process().isListLeaseHolder());
+        int status = schedule.sendOnce(successor, schedule.operators.newPatch());
+        assertFalse(DEFINITE_STATUSES.contains(status), "responded with " + status);
+        assertFalse(successor.process().isListLeaseHolder());
         schedule.makeChanges(3);
         schedule.setPartitioned(partitioned, others, false);
-        settle(schedule);
+        awaitRecovery(schedule);
         assertTrue(data.process().isComplete());
     }
 
-    /** {@code core_cut} with {@code split}: the halves must not both confirm changes; other machines reach both. */
+    /**
+     * The fault {@code core_cut} with {@code split}: the halves of the core must not both confirm changes. Other
+     * machines reach both halves.
+     */
     @ParameterizedTest
     @MethodSource("seeds")
     void changesAreConsistentWhenTheCoreIsRepeatedlySplit(long seed) {
         Schedule schedule = new Schedule(seed, 3 + (int) (seed % 4));
-        schedule.fleet.contact().beyondTolerance();
+        schedule.fleet.contact().allowFaultsBeyondTolerance();
         SplittableRandom random = new SplittableRandom(seed);
         schedule.operators.start(schedule.fleet.time().now() + 3 * PARTITION_MS, MEAN_INTERVAL_MS);
-        for (int turn = 0; turn < 3; turn++) {
-            List<ControlMachine> one = new ArrayList<>(schedule.fleet.core());
-            List<ControlMachine> other = new ArrayList<>();
-            while (other.size() < one.size()) {
-                other.add(one.remove(random.nextInt(one.size())));
+        for (int round = 0; round < 3; round++) {
+            List<ControlMachine> firstPart = new ArrayList<>(schedule.fleet.core());
+            List<ControlMachine> secondPart = new ArrayList<>();
+            while (secondPart.size() < firstPart.size()) {
+                secondPart.add(firstPart.remove(random.nextInt(firstPart.size())));
             }
-            schedule.setAllPartitioned(one, other, true);
+            schedule.setAllPartitioned(firstPart, secondPart, true);
             schedule.run(random.nextDouble() * PARTITION_MS);
-            schedule.setAllPartitioned(one, other, false);
+            schedule.setAllPartitioned(firstPart, secondPart, false);
             schedule.run(random.nextDouble() * SimulatedFleet.CATCH_UP_MS);
         }
-        settle(schedule);
+        awaitRecovery(schedule);
     }
 
     /**
-     * {@code core_cut} with {@code behind}: a minority misses changes; then one of the others loses its disk, the rest
-     * lose power, and the partition heals. The minority and the machine with the empty disk are no majority: confirmed
-     * changes are not overwritten, and are available once the rest are running again.
+     * The fault {@code core_cut} with {@code behind}: a minority misses changes; then one of the others loses its disk,
+     * the rest lose power, and the partition heals. The minority and the machine with the empty disk are no majority:
+     * confirmed changes are not overwritten, and are available once the rest are running again.
      */
     @ParameterizedTest
     @MethodSource("seeds")
     void aMinorityThatMissedChangesConfirmsNothingWithAnEmptyDisk(long seed) {
         Schedule schedule = new Schedule(seed, 3 + 2 * (int) (seed % 2));
-        schedule.fleet.contact().beyondTolerance();
+        schedule.fleet.contact().allowFaultsBeyondTolerance();
         List<ControlMachine> core = schedule.fleet.core();
         int minority = (core.size() - 1) / 2;
         List<ControlMachine> behind = core.subList(0, minority);
@@ -150,7 +156,7 @@
         schedule.run(PARTITION_MS - 1_000);
         assertEquals(OperatorChange.State.OPEN, change.state);
         assertEquals(confirmed, schedule.fleet.invariants().versionFloor());
-        settle(schedule);
+        awaitRecovery(schedule);
     }
 
     /** Zones are partitioned from each other; after healing, one zone is lost while a machine is being replaced. */
@@ -159,7 +165,7 @@
     void changesSurviveZonePartitionsAndAZoneLossDuringAReplacement(int zones) {
         for (long seed = 1; seed <= 6; seed++) {
             Schedule schedule = new Schedule(seed * 100 + zones, 6);
-            schedule.fleet.contact().beyondTolerance();
+            schedule.fleet.contact().allowFaultsBeyondTolerance();
             SplittableRandom random = new SplittableRandom(seed);
             schedule.operators.start(schedule.fleet.time().now() + 2 * PARTITION_MS, MEAN_INTERVAL_MS);
             List<ControlMachine> lostZone = zone(schedule, 0, zones);
@@ -174,7 +180,7 @@
             schedule.run(random.nextDouble() * 2_000);
             lostZone.forEach(machine -> schedule.faults.powerLoss(machine, PARTITION_MS, () -> {}));
             schedule.run(PARTITION_MS);
-            settle(schedule);
+            awaitRecovery(schedule);
         }
     }
 
@@ -188,15 +194,15 @@
 
     /** Partitions this zone from the zones with lower numbers, or heals that partition. */
     private static void setZonePartitioned(Schedule schedule, int zone, int zones, boolean partitioned) {
-        for (int before = 0; before < zone; before++) {
-            schedule.setAllPartitioned(zone(schedule, zone, zones), zone(schedule, before, zones), partitioned);
+        for (int lower = 0; lower < zone; lower++) {
+            schedule.setAllPartitioned(zone(schedule, zone, zones), zone(schedule, lower, zones), partitioned);
         }
     }
 
     /** After the last fault, every change gets a definite response and every process has all confirmed changes. */
-    private static void settle(Schedule schedule) {
+    private static void awaitRecovery(Schedule schedule) {
         schedule.runUntil(SimulatedFleet.RECOVERY_MS, "all changes have a response", () -> schedule.operators
-                .open()
+                .openChanges()
                 .isEmpty());
         schedule.runUntil(
                 SimulatedFleet.RECOVERY_MS, "all machines are running", () -> schedule.fleet.machines().stream()
--- a/simulation/src/test/java/dewplank/simulation/ProcessIncarnation.java
+++ b/simulation/src/test/java/dewplank/simulation/ProcessIncarnation.java
@@ -14,7 +14,10 @@
  * the events from outside.
  */
 public final class ProcessIncarnation implements Scheduler {
-    /** As with the event loop's timer wheel, a timer fires at the first tick at or after its due time. */
+    /**
+     * Resolution of the timers. As with the event loop's timer wheel, a timer fires at the first tick at or after its
+     * due time.
+     */
     private static final double TICK_MS = 5;
 
     private static final boolean LOG_ENABLED = System.getProperty("simulation.log") != null;
--- a/simulation/src/test/java/dewplank/simulation/RefusedDiskTest.java
+++ b/simulation/src/test/java/dewplank/simulation/RefusedDiskTest.java
@@ -23,17 +23,17 @@
     private static final double MEAN_INTERVAL_MS = 250;
     private static final double STEP_MS = 50;
     private static final double MAX_UNUSABLE_MS = 6_000;
-    private static final Set<Integer> DEFINITE = Set.of(200, 400, 404, 409, 412);
+    private static final Set<Integer> DEFINITE_STATUSES = Set.of(200, 400, 404, 409, 412);
 
     /** A lost machine is replaced by one with an empty disk that rejects all writes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aSuccessorWithAFullDiskServesWithoutAVoteUntilItCanWrite(long seed) {
         Schedule schedule = new Schedule(seed, 3);
-        schedule.fleet.contact().beyondTolerance();
+        schedule.fleet.contact().allowFaultsBeyondTolerance();
         schedule.core((int) (seed % 3)).remove();
         ControlMachine successor = schedule.fleet.addControlMachine(schedule.fleet.firstSeeds(), false);
-        schedule.fleet.contact().startedWithEmptyDisk(successor);
+        schedule.fleet.contact().recordStartWithEmptyDisk(successor);
         successor.disk().setFull(true);
         successor.start();
         schedule.run(2 * SimulatedFleet.CATCH_UP_MS);
@@ -54,7 +54,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void anAcceptorWhoseFirstSyncFailsResumesItsVoteLater(long seed) {
         Schedule schedule = new Schedule(seed, 3);
-        schedule.fleet.contact().beyondTolerance();
+        schedule.fleet.contact().allowFaultsBeyondTolerance();
         schedule.makeChanges(3);
         ControlMachine restarted = schedule.core((int) (seed % 3));
         String identity = restarted.process().identity();
@@ -79,16 +79,16 @@
     }
 
     /**
-     * Disks of founders reject all writes for some seconds from the first start on, and processes restart meanwhile.
-     * One fleet is founded, and its acceptor set is complete in the end.
+     * Disks of founders reject all writes for some seconds after the first start, and processes restart meanwhile.
+     * Exactly one fleet is founded, and its acceptor set is complete in the end.
      */
     @ParameterizedTest
     @MethodSource("seeds")
     void aFleetIsFoundedOnceWhileDisksOfFoundersAreUnusable(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SimulatedFleet fleet = new SimulatedFleet(3 + random.nextInt(3), 0, 3, random.split());
-        fleet.contact().beyondTolerance();
-        fleet.core().forEach(ControlMachine::keepInitialSettings);
+        fleet.contact().allowFaultsBeyondTolerance();
+        fleet.core().forEach(ControlMachine::keepInitialStart);
         FaultInjector faults = new FaultInjector(fleet, random.split());
         int unusableCount = 1 + random.nextInt(3);
         for (ControlMachine founder : fleet.core().subList(0, unusableCount)) {
@@ -106,11 +106,14 @@
         fleet.start();
         operators.start(CHANGES_UNTIL_MS, MEAN_INTERVAL_MS);
         fleet.time().runUntil(CHANGES_UNTIL_MS);
-        runUntil(fleet, () -> operators.open().isEmpty() && isComplete(fleet));
+        runUntil(fleet, () -> operators.openChanges().isEmpty() && isComplete(fleet));
         fleet.invariants().checkFinalConfiguration(fleet.core().get(0).process().configuration());
     }
 
-    /** Whether all have the last confirmed change, and the acceptors are three or more machines with a usable disk. */
+    /**
+     * Whether all control planes have the last confirmed change, and the acceptors are three or more machines with a
+     * usable disk.
+     */
     private static boolean isComplete(SimulatedFleet fleet) {
         ControlMachine first = fleet.core().get(0);
         long newest = fleet.invariants().versionFloor();
@@ -147,7 +150,7 @@
         assertFalse(control.process().isListLeaseHolder());
         assertFalse(isAcceptor(schedule.fleet.core().get(0), control));
         int status = schedule.sendOnce(control, schedule.operators.newPatch());
-        assertFalse(DEFINITE.contains(status), "responded with " + status);
+        assertFalse(DEFINITE_STATUSES.contains(status), "responded with " + status);
         assertEquals(
                 0,
                 schedule.fleet.core().stream()
--- a/simulation/src/test/java/dewplank/simulation/Schedule.java
+++ b/simulation/src/test/java/dewplank/simulation/Schedule.java
@@ -7,7 +7,7 @@
 
 /** A fleet without random faults, in which a test causes a scripted sequence of events. */
 final class Schedule {
-    private static final double STARTED_MS = 2_500;
+    private static final double START_PERIOD_MS = 2_500;
     private static final double STEP_MS = 20;
 
     final SimulatedFleet fleet;
@@ -27,7 +27,7 @@
         faults = new FaultInjector(fleet, random.split());
         operators.loseNoResponses();
         fleet.start();
-        run(STARTED_MS);
+        run(START_PERIOD_MS);
         makeChange();
     }
 
@@ -77,9 +77,9 @@
     }
 
     /** Returns the status of one attempt at one machine; 0 if no response arrived within the timeout of 1 s. */
-    int sendOnce(ControlMachine at, OperatorChange change) {
+    int sendOnce(ControlMachine machine, OperatorChange change) {
         int[] status = {-1};
-        operators.sendRequest(at, change, response -> status[0] = response == null ? 0 : response.status());
+        operators.sendRequest(machine, change, response -> status[0] = response == null ? 0 : response.status());
         runUntil(SimulatedFleet.ACK_MS, "the attempt is complete", () -> status[0] >= 0);
         return status[0];
     }
@@ -98,9 +98,9 @@
                                         !data.isRunning() || data.process().version() >= newest));
     }
 
-    /** Partitions each of some machines from each of the others in both directions, or heals that partition. */
-    void setAllPartitioned(List<? extends Machine> some, List<? extends Machine> others, boolean partitioned) {
-        some.forEach(machine -> setPartitioned(machine, others, partitioned));
+    /** Partitions each machine of a group from each of the others in both directions, or heals that partition. */
+    void setAllPartitioned(List<? extends Machine> group, List<? extends Machine> others, boolean partitioned) {
+        group.forEach(machine -> setPartitioned(machine, others, partitioned));
     }
 
     /** Partitions a machine from others in both directions, or heals that partition. */
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDisk.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDisk.java
@@ -115,11 +115,11 @@
     private void applyAfterPowerLoss(Content content, Write write, int outcome) {
         if (outcome < 2) {
             int length = outcome == 0 ? write.bytes.length : random.nextInt(write.bytes.length + 1);
-            content.current = overwritten(content.current, Arrays.copyOf(write.bytes, length), write.position);
+            content.current = overwrite(content.current, Arrays.copyOf(write.bytes, length), write.position);
         }
     }
 
-    private static byte[] overwritten(byte[] old, byte[] bytes, long position) {
+    private static byte[] overwrite(byte[] old, byte[] bytes, long position) {
         byte[] result = Arrays.copyOf(old, (int) Math.max(old.length, position + bytes.length));
         System.arraycopy(bytes, 0, result, (int) position, bytes.length);
         return result;
@@ -210,7 +210,7 @@
             checkWritable();
             byte[] bytes = new byte[source.remaining()];
             source.get(bytes);
-            content.current = overwritten(content.current, bytes, position);
+            content.current = overwrite(content.current, bytes, position);
             content.unsynced.add(new Write(bytes, position));
             bytesWritten += bytes.length;
             updateMaxTotalBytes();
--- a/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedDiskExecutor.java
@@ -79,11 +79,11 @@
     }
 
     private void runActive() {
-        Submission finished = active;
+        Submission submission = active;
         active = null;
-        DiskResult result = execute(finished.task);
+        DiskResult result = execute(submission.task);
         faults.failedTasks += result.isSuccess() ? 0 : 1;
-        incarnation.execute(() -> finished.completion.accept(result));
+        incarnation.execute(() -> submission.completion.accept(result));
         startNext();
     }
 
@@ -96,7 +96,10 @@
         }
     }
 
-    /** Terminates the process: the active task is not started, partly done, or done without a reported result. */
+    /**
+     * Aborts the tasks when the process is terminated: the active task is not started, is partly executed, or is
+     * executed without a reported result.
+     */
     void abort() {
         if (active != null && random.nextBoolean()) {
             disk.failAfterWrites(1 + random.nextInt(MAX_WRITES_BEFORE_ABORT));
--- a/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
+++ b/simulation/src/test/java/dewplank/simulation/SimulatedLink.java
@@ -17,12 +17,12 @@
     private Handler handler;
     private SimulatedLink peer;
     private double lastArrivalMs;
-    /** Messages are delayed because a partition separates the sender from the peer. */
+    /** Whether messages are delayed because a partition separates the sender from the peer. */
     private boolean partitioned;
 
     private boolean established;
     private boolean closed;
-    /** The sender has lost power and sends neither data nor a close. */
+    /** Whether the sender has lost power, so that it sends neither data nor a close. */
     private boolean senderLostPower;
 
     SimulatedLink(SimulatedNetwork network, Machine from, Machine to, ProcessIncarnation incarnation, Handler handler) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Ends the connection of a terminated process: the kernel closes or resets it, or sends nothing without power. */
+    /** Ends the connection of a terminated process: the kernel closes or resets it, unless power is lost. */
     void endWithProcess(boolean powerLost, boolean reset) {
         if (closed) {
             senderLostPower = powerLost;
