--- a/client/src/main/java/dewplank/client/ConfigurationChanges.java
+++ b/client/src/main/java/dewplank/client/ConfigurationChanges.java
@@ -93,7 +93,7 @@
             Map<String, Object> fields = Json.object(new String(file, StandardCharsets.UTF_8));
             return fields.containsKey("upsert") || fields.containsKey("remove");
         } catch (InvalidInputException unreadable) {
-            return false; // Parsing it as a configuration reports the error.
+            return false; // The error is reported when the file is parsed as a configuration.
         }
     }
 }
--- a/client/src/main/java/dewplank/client/ConfigurationText.java
+++ b/client/src/main/java/dewplank/client/ConfigurationText.java
@@ -48,7 +48,7 @@
         return services;
     }
 
-    /** Returns an empty text if the configuration has no tenants. */
+    /** Formats the tenants with their access keys; returns an empty text if there are none. */
     private static String tenants(Configuration configuration, KeyDisplay keys) {
         if (!configuration.requiresAccessKeys()) {
             return "";
--- a/client/src/main/java/dewplank/client/ControlCall.java
+++ b/client/src/main/java/dewplank/client/ControlCall.java
@@ -6,9 +6,9 @@
 /**
  * A call to the operators' API of a control plane.
  *
- * @param path starts with a slash
+ * @param path the path of the request, which starts with a slash
  * @param expectedVersion the version that a change is based on, sent as If-Match; null for read-only calls
- * @param body empty for read-only calls
+ * @param body the body of the request; empty for read-only calls
  */
 public record ControlCall(String method, String path, Long expectedVersion, byte[] body) {
     private static final String CONFIGURATION = "/configuration";
--- a/client/src/main/java/dewplank/client/ControlClient.java
+++ b/client/src/main/java/dewplank/client/ControlClient.java
@@ -27,11 +27,11 @@
  */
 public final class ControlClient {
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
-    /** Multiplies the response timeout of a call with a large request body. */
+    /** The factor of the response timeout for a call whose request body exceeds {@link #LARGE_BODY_BYTES}. */
     private static final int LARGE_BODY_TIMEOUT_FACTOR = 2;
 
     private static final int LARGE_BODY_BYTES = 64 * 1024;
-    /** Multiplies the response timeout for receiving the complete response, including its body. */
+    /** The factor of the response timeout for receiving the complete response, including its body. */
     private static final int COMPLETE_RESPONSE_TIMEOUT_FACTOR = 5;
 
     private static final int MAX_REDIRECTS = 2;
@@ -39,7 +39,10 @@
     private static final long MAX_BACKOFF_MS = 1_600;
     private static final int TEMPORARY_REDIRECT = 307;
     private static final int MIN_SERVER_ERROR = 500;
-    /** Request Timeout and Too Many Requests: a retry or a call to another control plane may succeed. */
+    /**
+     * The statuses Request Timeout and Too Many Requests, after which a retry or a call to another control plane may
+     * succeed.
+     */
     private static final Set<Integer> RETRYABLE_STATUSES = Set.of(408, 429);
 
     /** Waits between rounds; replaced in tests. */
@@ -47,7 +50,7 @@
         void sleep(long ms) throws InterruptedException;
     }
 
-    /** An attempt whose outcome is unknown, or which may succeed at another address. */
+    /** Reports an attempt whose outcome is unknown, or which may succeed at another address. */
     private static final class InconclusiveException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -124,7 +127,7 @@
         return responses;
     }
 
-    /** Returns all addresses, in the order of calls. */
+    /** Returns all addresses, in the order in which they are called. */
     public List<String> addresses() {
         return addresses;
     }
@@ -158,7 +161,7 @@
                 return to;
             }
         } catch (IllegalArgumentException e) {
-            // Reported below.
+            // Reported below like any other invalid redirect.
         }
         throw new InconclusiveException("a redirect to '" + location + "'");
     }
--- a/client/src/main/java/dewplank/client/ControlResponse.java
+++ b/client/src/main/java/dewplank/client/ControlResponse.java
@@ -59,7 +59,7 @@
                 return number + " " + name + (fields.get("detail") instanceof String detail ? ": " + detail : "");
             }
         } catch (InvalidInputException noResult) {
-            // Without a result the status is returned.
+            // The body has no result, so the status is returned below.
         }
         return "status " + status;
     }
--- a/client/src/main/java/dewplank/client/DataPlaneStatus.java
+++ b/client/src/main/java/dewplank/client/DataPlaneStatus.java
@@ -11,7 +11,7 @@
  * @param node the name of its node
  * @param address its address for other processes of the fleet, as IP:PORT
  * @param zone its zone; empty if it has none
- * @param incarnation differs between the successive processes of a node
+ * @param incarnation the incarnation of its process, which differs between the successive processes of a node
  * @param configurationVersion the version that it reported last; 0 if it has no configuration
  * @param sinceMs how long it has been reporting that version, in milliseconds
  * @param heartbeatAgeMs the time since its last heartbeat, in milliseconds
@@ -51,8 +51,9 @@
     }
 
     /**
-     * The report with the latest heartbeat takes precedence. Of reports about the same process and version the longer
-     * duration is used, as an earlier session of that process may have received the version before.
+     * Combines two reports about a node; the one with the later heartbeat takes precedence. If both are about the same
+     * process and version, the longer duration is used, as that process may have received the version in an earlier
+     * session.
      */
     private static DataPlaneStatus combined(DataPlaneStatus one, DataPlaneStatus other) {
         DataPlaneStatus newer = one.heartbeatAgeMs <= other.heartbeatAgeMs ? one : other;
--- a/client/src/main/java/dewplank/client/KeyDisplay.java
+++ b/client/src/main/java/dewplank/client/KeyDisplay.java
@@ -5,9 +5,9 @@
 
 /** How commands show the access keys of a configuration's tenants. */
 public enum KeyDisplay {
-    /** As fingerprints, so that keys don't leak into terminals, files or tickets. */
+    /** Shows fingerprints of the keys, so that keys don't leak into terminals, files or tickets. */
     FINGERPRINTS,
-    /** In full, when the operator requests it. */
+    /** Shows the keys in full, at the request of the operator. */
     WHOLE;
 
     /** Returns the configuration as JSON without spaces, with the keys in this representation. */
--- a/client/src/main/java/dewplank/client/RedactedFiles.java
+++ b/client/src/main/java/dewplank/client/RedactedFiles.java
@@ -31,7 +31,10 @@
         }
     }
 
-    /** Returns no fields if the file can't be parsed; parsing it as a configuration reports the error. */
+    /**
+     * Returns the file's fields, or none if it can't be parsed; the error is reported when the file is parsed as a
+     * configuration.
+     */
     private static Map<String, Object> fields(byte[] file) {
         try {
             return Json.object(new String(file, StandardCharsets.UTF_8));
--- a/client/src/test/java/dewplank/client/FakeControlPlane.java
+++ b/client/src/test/java/dewplank/client/FakeControlPlane.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A control plane on loopback that records calls and sends scripted responses; after the last it stops responding. */
+/** A control plane on loopback that records calls and sends scripted responses; later calls get no response. */
 final class FakeControlPlane implements AutoCloseable {
     /** A received call. */
     record Call(String method, String path, String ifMatch, String body) {}
 
-    private record Scripted(int status, String body, String location) {}
+    private record ScriptedResponse(int status, String body, String location) {}
 
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final CountDownLatch closed = new CountDownLatch(1);
     private final HttpServer server;
-    private final Deque<Scripted> script = new ArrayDeque<>();
+    private final Deque<ScriptedResponse> script = new ArrayDeque<>();
     private final List<Call> calls = new ArrayList<>();
 
     FakeControlPlane() throws IOException {
@@ -39,14 +39,14 @@
     }
 
     /** Adds a response to the script. */
-    synchronized FakeControlPlane then(int status, String body) {
-        script.add(new Scripted(status, body, null));
+    synchronized FakeControlPlane addResponse(int status, String body) {
+        script.add(new ScriptedResponse(status, body, null));
         return this;
     }
 
     /** Adds a redirect to the script. */
-    synchronized FakeControlPlane thenRedirect(String location) {
-        script.add(new Scripted(307, "", location));
+    synchronized FakeControlPlane addRedirect(String location) {
+        script.add(new ScriptedResponse(307, "", location));
         return this;
     }
 
@@ -57,7 +57,7 @@
 
     private void handle(HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-        Scripted response = next(new Call(
+        ScriptedResponse response = next(new Call(
                 exchange.getRequestMethod(),
                 exchange.getRequestURI().toString(),
                 exchange.getRequestHeaders().getFirst("If-Match"),
@@ -75,7 +75,7 @@
         exchange.close();
     }
 
-    private synchronized Scripted next(Call call) {
+    private synchronized ScriptedResponse next(Call call) {
         calls.add(call);
         return script.poll();
     }
--- a/client/src/test/java/dewplank/client/FleetTextTest.java
+++ b/client/src/test/java/dewplank/client/FleetTextTest.java
@@ -13,15 +13,15 @@
 
 /** Tests the status of data planes as combined from the reports of several control planes. */
 class FleetTextTest {
-    private static final String ONE = "10.0.0.1:1";
-    private static final String OTHER = "10.0.0.2:1";
-    private static final String EARLIER_VERSION = "10.0.0.3:1";
+    private static final String FIRST_ADDRESS = "10.0.0.1:1";
+    private static final String SECOND_ADDRESS = "10.0.0.2:1";
+    private static final String EARLIER_VERSION_ADDRESS = "10.0.0.3:1";
 
     private final Map<String, ControlResponse> statuses = new LinkedHashMap<>();
     private final Map<String, ControlResponse> dataPlanes = new LinkedHashMap<>();
 
     private static ControlResponse response(int status, String body) {
-        return new ControlResponse(ONE, status, body.getBytes(StandardCharsets.UTF_8));
+        return new ControlResponse(FIRST_ADDRESS, status, body.getBytes(StandardCharsets.UTF_8));
     }
 
     private static String report(String node, long version, long sinceMs, long heartbeatAgeMs, boolean session) {
@@ -43,64 +43,65 @@
         dataPlanes.put(address, response(200, body));
     }
 
-    private String state(int row) {
+    private String tableRow(int row) {
         String[] lines = FleetText.dataPlanes(dataPlanes).split("\n");
         return lines[row].replaceAll(" {2,}", "|");
     }
 
     @Test
     void showsCurrentLaggingAndDisconnectedDataPlanes() {
-        addReports(ONE, 7, report("edge-1", 7, 61_000, 240, true), report("edge-2", 6, 3_000, 100, true));
-        addReports(OTHER, 6, report("edge-3", 7, 90_000, 80_500, false));
-        assertEquals("DATA PLANE|ADDRESS|ZONE|CONFIGURATION|SINCE S|HEARD S|STATE", state(0));
-        assertEquals("edge-1|10.1.0.1:2|z|7|61.0|0.2|current", state(1));
-        assertEquals("edge-2|10.1.0.1:2|z|6|3.0|0.1|behind", state(2));
-        assertEquals("edge-3|10.1.0.1:2|z|7|90.0|80.5|not heard", state(3));
+        addReports(FIRST_ADDRESS, 7, report("edge-1", 7, 61_000, 240, true), report("edge-2", 6, 3_000, 100, true));
+        addReports(SECOND_ADDRESS, 6, report("edge-3", 7, 90_000, 80_500, false));
+        assertEquals("DATA PLANE|ADDRESS|ZONE|CONFIGURATION|SINCE S|HEARD S|STATE", tableRow(0));
+        assertEquals("edge-1|10.1.0.1:2|z|7|61.0|0.2|current", tableRow(1));
+        assertEquals("edge-2|10.1.0.1:2|z|6|3.0|0.1|behind", tableRow(2));
+        assertEquals("edge-3|10.1.0.1:2|z|7|90.0|80.5|not heard", tableRow(3));
     }
 
     @Test
     void theReportWithTheLatestHeartbeatTakesPrecedence() {
-        addReports(ONE, 7, report("edge-1", 6, 50_000, 9_000, false), report("edge-2", 7, 70_000, 4_000, false));
-        addReports(OTHER, 7, report("edge-1", 7, 2_000, 100, true), report("edge-2", 7, 3_000, 200, true));
-        assertEquals("edge-1|10.1.0.1:2|z|7|2.0|0.1|current", state(1));
-        assertEquals("edge-2|10.1.0.1:2|z|7|70.0|0.2|current", state(2));
+        addReports(
+                FIRST_ADDRESS, 7, report("edge-1", 6, 50_000, 9_000, false), report("edge-2", 7, 70_000, 4_000, false));
+        addReports(SECOND_ADDRESS, 7, report("edge-1", 7, 2_000, 100, true), report("edge-2", 7, 3_000, 200, true));
+        assertEquals("edge-1|10.1.0.1:2|z|7|2.0|0.1|current", tableRow(1));
+        assertEquals("edge-2|10.1.0.1:2|z|7|70.0|0.2|current", tableRow(2));
     }
 
-    /** The session of its earlier process, which lost power after using the version for longer, is still open. */
+    /** The session of the node's previous process, which used the version for longer and lost power, is still open. */
     @Test
     void aRestartedDataPlaneUsesTheVersionOnlySinceItsRestart() {
-        addReports(ONE, 7, report("edge-1", 1, 7, 70_000, 900, true));
-        addReports(OTHER, 7, report("edge-1", 2, 7, 400, 100, true));
-        assertEquals("edge-1|10.1.0.1:2|z|7|0.4|0.1|current", state(1));
+        addReports(FIRST_ADDRESS, 7, report("edge-1", 1, 7, 70_000, 900, true));
+        addReports(SECOND_ADDRESS, 7, report("edge-1", 2, 7, 400, 100, true));
+        assertEquals("edge-1|10.1.0.1:2|z|7|0.4|0.1|current", tableRow(1));
     }
 
     @Test
     void anUnreadableResponseIsReportedWithItsAddress() {
-        dataPlanes.put(ONE, response(200, "{\"config_version\":7,\"data_planes\":[{\"node\":1}]}"));
+        dataPlanes.put(FIRST_ADDRESS, response(200, "{\"config_version\":7,\"data_planes\":[{\"node\":1}]}"));
         InvalidInputException failure =
                 assertThrows(InvalidInputException.class, () -> FleetText.dataPlanes(dataPlanes));
         assertTrue(
-                failure.getMessage().startsWith("802 ANSWER_UNREADABLE: the response from " + ONE),
+                failure.getMessage().startsWith("802 ANSWER_UNREADABLE: the response from " + FIRST_ADDRESS),
                 failure.getMessage());
     }
 
     @Test
     void aControlPlaneOfAnEarlierVersionReportsNoDataPlanes() {
-        dataPlanes.put(EARLIER_VERSION, response(404, "{\"code\":201,\"result\":\"NO_SUCH_PATH\"}"));
+        dataPlanes.put(EARLIER_VERSION_ADDRESS, response(404, "{\"code\":201,\"result\":\"NO_SUCH_PATH\"}"));
         assertEquals(1, FleetText.dataPlanes(dataPlanes).lines().count());
-        statuses.put(EARLIER_VERSION, response(200, "{\"node\":\"core\"}\n"));
+        statuses.put(EARLIER_VERSION_ADDRESS, response(200, "{\"node\":\"core\"}\n"));
         assertEquals(
                 "{\"10.0.0.3:1\":{\"node\":\"core\"}}",
-                FleetText.statusJson(List.of(EARLIER_VERSION), statuses, dataPlanes));
+                FleetText.statusJson(List.of(EARLIER_VERSION_ADDRESS), statuses, dataPlanes));
     }
 
     @Test
     void theJsonStatusContainsTheReportsOfEachControlPlane() {
-        statuses.put(ONE, response(200, "{\"node\":\"core\"}\n"));
-        addReports(ONE, 7, report("edge-1", 7, 61_000, 240, true));
+        statuses.put(FIRST_ADDRESS, response(200, "{\"node\":\"core\"}\n"));
+        addReports(FIRST_ADDRESS, 7, report("edge-1", 7, 61_000, 240, true));
         assertEquals(
                 "{\"10.0.0.1:1\":{\"node\":\"core\",\"data_planes\":[" + report("edge-1", 7, 61_000, 240, true)
                         + "]},\"10.0.0.2:1\":null}",
-                FleetText.statusJson(List.of(ONE, OTHER), statuses, dataPlanes));
+                FleetText.statusJson(List.of(FIRST_ADDRESS, SECOND_ADDRESS), statuses, dataPlanes));
     }
 }
--- a/client/src/test/java/dewplank/client/TenantTextTest.java
+++ b/client/src/test/java/dewplank/client/TenantTextTest.java
@@ -103,12 +103,12 @@
         assertTrue(difference(KeyDisplay.WHOLE).endsWith("[\"" + KEY + "\"] -> [\"" + KEY + "\",\"" + NEW_KEY + "\"]"));
     }
 
-    /** Applying the file would replace the tenants' keys by fingerprints and so revoke the keys of all clients. */
+    /** Applying the file would replace the tenants' keys with fingerprints and thus revoke the keys of all clients. */
     @Test
     void aFileWithFingerprintsIsRejected() {
         String shown = KeyDisplay.FINGERPRINTS.json(withTenants());
         String patch = ROTATION.replace(KEY, fingerprint(KEY));
-        ConfigurationChanges changes = new ConfigurationChanges(null); // rejected before any call
+        ConfigurationChanges changes = new ConfigurationChanges(null); // the files are rejected before any call
         for (String file : List.of(shown, patch)) {
             for (InvalidInputException rejection : List.of(
                     assertThrows(InvalidInputException.class, () -> changes.put(bytes(file), 7L)),
