--- a/cli/src/main/java/dewplank/FleetViewCommands.java
+++ b/cli/src/main/java/dewplank/FleetViewCommands.java
@@ -68,7 +68,10 @@
                     FleetText.status(client.addresses(), responses) + "\n" + FleetText.dataPlanes(dataPlanes));
         }
 
-        /** Returns no reports if no control plane responds any more, so that the status received before is shown. */
+        /**
+         * Returns the reports on data planes. If no control plane responds any more there are none, so that the status
+         * received before is still shown.
+         */
         private static Map<String, ControlResponse> dataPlanes(ControlClient client) throws InterruptedException {
             try {
                 return client.callEach(ControlCall.get("/data-planes"));
--- a/cli/src/main/java/dewplank/SettingsReloader.java
+++ b/cli/src/main/java/dewplank/SettingsReloader.java
@@ -17,12 +17,12 @@
     private final Semaphore hangups = new Semaphore(0);
     private final boolean ignored;
 
-    /** Installs a handler for SIGHUP, which terminates a JVM by default; so this is the first step of a start. */
+    /** Installs a handler for SIGHUP. A program does this first at its start, as SIGHUP terminates a JVM by default. */
     SettingsReloader() {
         ignored = Signal.handle(new Signal("HUP"), signal -> hangups.release()) == SignalHandler.SIG_IGN;
     }
 
-    /** Whether the program was started with the signal ignored, as nohup does, so that it is never received. */
+    /** Whether the program was started with SIGHUP ignored, as by nohup; it then never receives the signal. */
     boolean isSignalIgnored() {
         return ignored;
     }
--- a/cli/src/main/java/dewplank/TrialCommands.java
+++ b/cli/src/main/java/dewplank/TrialCommands.java
@@ -20,8 +20,8 @@
     private TrialCommands() {}
 
     /**
-     * Returns the command that starts a sidecar process: with the JVM and class path of this process, within the memory
-     * limits of the platform.
+     * Returns the command that starts a sidecar process. It uses the JVM and the class path of this process, and keeps
+     * within the memory limits of the platform.
      */
     static List<String> sidecarCommand() {
         return List.of(
@@ -190,7 +190,7 @@
         }
     }
 
-    /** Runs a small fleet on loopback; meant as the first command to try, it requires no file. */
+    /** Runs a small fleet on loopback. Requires no file, so that new users can start with it. */
     public static final class Try implements Command {
         @Option(name = "--seed", metaVar = "N")
         private long seed = 1;
--- a/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
+++ b/cli/src/main/java/dewplank/rehearsal/FleetRehearsal.java
@@ -22,7 +22,7 @@
 
 /**
  * Runs both programs of the fleet briefly in one process on loopback: puts a configuration, polls an endpoint list, and
- * sends plain requests and generations. The build creates the class-data archive from the classes loaded meanwhile.
+ * sends plain requests and generations. The build creates the class-data archive from the classes that this run loads.
  */
 public final class FleetRehearsal {
     private static final String HOST = "127.0.0.1";
--- a/cli/src/test/java/dewplank/DocumentedNamesTest.java
+++ b/cli/src/test/java/dewplank/DocumentedNamesTest.java
@@ -45,7 +45,7 @@
     private static final NavigableSet<String> identifiers = new TreeSet<>();
     private static final NavigableMap<String, NavigableSet<String>> identifiersOfTests = new TreeMap<>();
 
-    /** A name in a page; {@code isPrefix} if three dots stand for the rest of the name. */
+    /** A name in a page; {@code isPrefix} is true if three dots stand for the rest of the name. */
     private record DocumentedName(String name, boolean isPrefix) {
         boolean matchesAny(NavigableSet<String> candidates) {
             if (!isPrefix) {
@@ -91,7 +91,7 @@
                 unknownNames("`" + unknownClass + "`, `" + unknownMethod + "...`"));
         assertEquals(
                 Set.of("ArchitectureTest.unknownNames"),
-                unknownNames("`ArchitectureTest.unknownNames`")); // a method of another test
+                unknownNames("`ArchitectureTest.unknownNames`")); // the method belongs to another test
     }
 
     @Test
--- a/cli/src/test/java/dewplank/LiveTest.java
+++ b/cli/src/test/java/dewplank/LiveTest.java
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Runs a scenario and repeats it if the run is invalid because the emulator ran late, and has violations: these are
-     * caused by the load of the machine and not by the sidecars. Returns the last run, valid or not.
+     * Runs a scenario. If the run is invalid, because the emulator ran late, and has violations, it is repeated, as the
+     * violations may be due to the load of the machine rather than to the sidecars. Returns the last run, valid or not.
      *
-     * @param lines receives the live table's lines of the returned run
+     * @param lines receives the lines that the returned run reports
      */
     private static Trial runScenario(Scenario scenario, long seed, List<String> lines) throws Exception {
         Trial trial;
--- a/cli/src/test/java/dewplank/OperatorMainTest.java
+++ b/cli/src/test/java/dewplank/OperatorMainTest.java
@@ -30,7 +30,7 @@
 
 /** The operators' command line against a control plane in this process, on loopback. */
 class OperatorMainTest {
-    private static final long TIMEOUT_S = 30; // only reached when the test fails
+    private static final long TIMEOUT_S = 30; // expires only if a test fails
     /**
      * The control plane's address. Nothing else uses it, so no connection of another process can take the chosen ports
      * before the control plane starts.
@@ -51,7 +51,7 @@
     private static HttpServer platform;
     private static ControlPlaneRunner controlPlane;
     private static Path settings;
-    private static String control;
+    private static String controlAddress;
 
     @BeforeAll
     static void start() throws Exception {
@@ -64,8 +64,8 @@
         });
         platform.start();
         List<Integer> ports = freePorts();
-        control = CONTROL_HOST + ":" + ports.get(0);
-        settings = write("node.json", settings(control, ports.get(1), ports.get(2), "\"" + folder + "\""));
+        controlAddress = CONTROL_HOST + ":" + ports.get(0);
+        settings = write("node.json", settings(controlAddress, ports.get(1), ports.get(2), "\"" + folder + "\""));
         controlPlane =
                 new ControlPlaneRunner(NodeSettings.read(settings).requireControlPlaneKeys(), Policy.ALL_ENABLED);
         controlPlane.start();
@@ -118,7 +118,7 @@
     private static CommandResult fleet(String... args) {
         List<String> all = new ArrayList<>(List.of("fleet"));
         all.addAll(List.of(args));
-        all.addAll(List.of("--at", control));
+        all.addAll(List.of("--at", controlAddress));
         return CommandResult.of(() -> OperatorMain.run(all));
     }
 
@@ -152,10 +152,11 @@
         assertFailed(1, "206 NO_CONFIGURATION", fleet("get"));
         Path first = write("first.json", configuration(5, 900));
         assertTrue(outputOf(fleet("diff", first.toString())).contains("+ routes[r-1] "));
-        assertEquals("100 OK by " + control + "\n", outputOf(fleet("put", first.toString())));
+        assertEquals("100 OK by " + controlAddress + "\n", outputOf(fleet("put", first.toString())));
         assertEquals(configuration(5, 900) + "\n", outputOf(fleet("get", "--json")));
         assertTrue(outputOf(fleet("get")).startsWith("configuration 5\n"));
-        assertEquals("101 ALREADY_TAKEN by " + control + "\n", outputOf(fleet("put", first.toString(), "--on", "0")));
+        assertEquals(
+                "101 ALREADY_TAKEN by " + controlAddress + "\n", outputOf(fleet("put", first.toString(), "--on", "0")));
         assertEquals("no differences\n", fleet("diff", first.toString()).out());
 
         Path second = write("second.json", configuration(9, 0));
@@ -235,7 +236,7 @@
     void showsMembersRolesAndStatus() {
         assertTrue(outputOf(fleet("members")).startsWith("as known to core-1"));
         assertTrue(outputOf(fleet("duties")).contains("core-1"));
-        assertTrue(outputOf(fleet("status")).contains(control));
+        assertTrue(outputOf(fleet("status")).contains(controlAddress));
         assertTrue(outputOf(run("fleet", "status", "--settings", settings.toString(), "--json"))
                 .contains("\"quorate\""));
         assertTrue(outputOf(fleet("servers", "--service", "other")).startsWith("list "));
@@ -253,7 +254,7 @@
         assertFailed(2, "--rounds should be", fleet("get", "--rounds", "0"));
         assertFailed(2, "--at: 'x'", run("fleet", "get", "--at", "x"));
         assertFailed(2, "PATH should begin", fleet("explain", "a.example", "a"));
-        assertFailed(2, "", run("fleet", "get", "--at", control, "--settings", "x"));
+        assertFailed(2, "", run("fleet", "get", "--at", controlAddress, "--settings", "x"));
         assertFailed(2, "", run("check-settings", "a", "b"));
     }
 
@@ -278,35 +279,36 @@
     @Test
     void checksSettings() throws IOException {
         assertEquals(
-                "settings of core-1 can be used: control plane (verb control-plane) for operators at " + control
+                "settings of core-1 can be used: control plane (verb control-plane) for operators at " + controlAddress
                         + ", disk in " + folder + "\n",
                 outputOf(run("check-settings", settings.toString())));
-        Path noDisk = write("no-disk.json", settings(control, 1, 2, "null"));
+        Path noDisk = write("no-disk.json", settings(controlAddress, 1, 2, "null"));
         assertFailed(1, "604 KEY_MISSING: data_directory is missing", run("check-settings", noDisk.toString()));
         Path relay = write(
                 "relay.json",
-                settings(control, 1, 2, "null").replace("\"loss_counted\":true", "\"loss_counted\":false"));
+                settings(controlAddress, 1, 2, "null").replace("\"loss_counted\":true", "\"loss_counted\":false"));
         assertEquals(
-                "settings of core-1 can be used: relay without a disk (verb control-plane) for operators at " + control
-                        + "\n",
+                "settings of core-1 can be used: relay without a disk (verb control-plane) for operators at "
+                        + controlAddress + "\n",
                 outputOf(run("check-settings", relay.toString())));
-        Path edge = write("edge.json", settings(control, 1, 2, "null").replace("\"control\":", "\"front\":"));
+        Path edge = write("edge.json", settings(controlAddress, 1, 2, "null").replace("\"control\":", "\"front\":"));
         assertFailed(
                 1, "604 KEY_MISSING: listen_addresses.readiness is missing", run("check-settings", edge.toString()));
         Path both = write(
                 "both.json",
-                settings(control, 1, 2, "null").replace("\"control\":", "\"front\":\"127.0.0.1:1\",\"readiness\":"));
+                settings(controlAddress, 1, 2, "null")
+                        .replace("\"control\":", "\"front\":\"127.0.0.1:1\",\"readiness\":"));
         assertTrue(outputOf(run("check-settings", both.toString())).contains("data plane (verb data-plane)"));
-        Path none = write("none.json", settings(control, 1, 2, "null").replace("\"control\":", "\"other\":"));
+        Path none = write("none.json", settings(controlAddress, 1, 2, "null").replace("\"control\":", "\"other\":"));
         assertFailed(1, "607 NO_ROLE", run("check-settings", none.toString()));
     }
 
     @Test
     void reportsTheCauseOfAFailedStart() throws Exception {
-        Path taken = write("taken.json", settings(control, 1, 2, "\"" + folder.resolve("other") + "\""));
+        Path taken = write("taken.json", settings(controlAddress, 1, 2, "\"" + folder.resolve("other") + "\""));
         Files.createDirectories(folder.resolve("other"));
         assertTrue(startErrorMessage(taken).startsWith("702 ADDRESS_NOT_USABLE: "), startErrorMessage(taken));
-        Path disk = write("disk.json", settings(control, 1, 2, "\"" + settings + "\""));
+        Path disk = write("disk.json", settings(controlAddress, 1, 2, "\"" + settings + "\""));
         assertTrue(startErrorMessage(disk).startsWith("701 DISK_NOT_USABLE: "), startErrorMessage(disk));
     }
 
--- a/cli/src/test/java/dewplank/fleet/ControlPlaneFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ControlPlaneFaultTest.java
@@ -26,7 +26,10 @@
 /** Control processes are killed, paused or lose their disks while clients send requests. */
 class ControlPlaneFaultTest {
     private static final double AFTER_DRAIN_LIMIT_MS = 400; // load continues this long after the time limit of a drain
-    /** For each data plane. One still using the draining server sends none to it with a chance of about 2^-16. */
+    /**
+     * The number of requests sent to each data plane after the drain. A data plane that still uses the draining server
+     * sends none of them to it with a probability of about 2^-16.
+     */
     private static final int REQUESTS_AFTER_DRAIN = 16;
 
     @Test
--- a/cli/src/test/java/dewplank/fleet/DataPlaneRestartTest.java
+++ b/cli/src/test/java/dewplank/fleet/DataPlaneRestartTest.java
@@ -18,7 +18,7 @@
 
 /** Tests data planes that are killed and restarted, or shut down gracefully on SIGTERM. */
 class DataPlaneRestartTest {
-    private static final int PAUSED_AFTER = 3;
+    private static final int PAUSE_AFTER_EVENTS = 3;
     private static final double MS_PER_S = 1_000;
 
     @Test
@@ -41,9 +41,9 @@
     void completesAStreamAfterItHasReportedNotReady() throws Exception {
         FleetHarness.run(1, 1, harness -> {
             FleetProcess process = harness.fleet.data().get(0);
-            harness.decodeServers.forEach(server -> server.pauseStreamsAfter(PAUSED_AFTER));
+            harness.decodeServers.forEach(server -> server.pauseStreamsAfter(PAUSE_AFTER_EVENTS));
             ClientAttempt stream = harness.send(0, FleetHarness.generation(CHAT, "long"));
-            harness.await("the stream has started", StreamEventSent.class, event -> event.id() == PAUSED_AFTER);
+            harness.await("the stream has started", StreamEventSent.class, event -> event.id() == PAUSE_AFTER_EVENTS);
             double terminatedAtMs = harness.now();
             process.terminate();
             harness.awaitReadiness(process.machine(), 503);
--- a/cli/src/test/java/dewplank/fleet/FleetHarness.java
+++ b/cli/src/test/java/dewplank/fleet/FleetHarness.java
@@ -61,7 +61,12 @@
             ClientRequest.split(CHAT, "mix", EVENT_COUNT),
             ClientRequest.direct(TALK, "mix", EVENT_COUNT));
 
-    private static final double SETTLED_FRACTION = 0.4; // of a window: 0.3, plus the time until the members are known
+    /**
+     * The fraction of the window of the retry budget after which data planes know how many of them share the budget:
+     * 0.3, plus the time until the members are known.
+     */
+    private static final double BUDGET_KNOWN_FRACTION = 0.4;
+
     private static final int MS_PER_S = 1_000;
     private static final String DUTIES_PATH = "/duties";
 
@@ -112,13 +117,15 @@
         awaitRetryBudget();
     }
 
-    /** Until then data planes don't know how many of them share the retry budget, and use none of its slack. */
+    /**
+     * Waits until the data planes know how many of them share the retry budget. Before that they use none of its slack.
+     */
     private void awaitRetryBudget() throws InterruptedException, TimeoutException {
-        double settled = fleet.now() + SETTLED_FRACTION * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
+        double knownAtMs = fleet.now() + BUDGET_KNOWN_FRACTION * FleetBounds.BUDGET_WINDOW_S * MS_PER_S;
         await(
                 "a call to the platform once the budget is known",
                 EndpointListRequested.class,
-                call -> call.atMs() > settled);
+                call -> call.atMs() > knownAtMs);
     }
 
     private void startServers() throws IOException {
@@ -129,12 +136,12 @@
         }
     }
 
-    /** A request with a prompt to prefill, for a stream of {@link #EVENT_COUNT} events. */
+    /** Returns a request with a prompt to prefill, for a stream of {@link #EVENT_COUNT} events. */
     static ClientRequest generation(RouteSpec route, String name) {
         return ClientRequest.split(route, name, EVENT_COUNT);
     }
 
-    /** The time in milliseconds on the clock of the stand-ins' loop, which is also used for events. */
+    /** Returns the time in milliseconds on the clock of the stand-ins' loop, which is also used for events. */
     double now() {
         return fleet.now();
     }
@@ -167,7 +174,7 @@
         }
     }
 
-    /** The server with this identity in the endpoint list. */
+    /** Returns the server with this identity in the endpoint list. */
     static <S extends StandInServer> S serverOf(List<S> servers, ServerIdentity identity) {
         return servers.stream()
                 .filter(server -> server.identity().equals(identity))
@@ -175,7 +182,7 @@
                 .orElseThrow();
     }
 
-    /** The first of these servers that is not the excluded one. */
+    /** Returns the first of these servers other than the excluded one. */
     static <S extends StandInServer> S serverOtherThan(List<S> servers, ServerIdentity excluded) {
         return servers.stream()
                 .filter(server -> !server.identity().equals(excluded))
@@ -193,7 +200,7 @@
         return fleet.load(ONE_OF_EACH_KIND);
     }
 
-    /** The events of this kind so far. */
+    /** Returns the events of this kind that have been recorded so far. */
     <T extends FleetEvent> List<T> events(Class<T> kind) {
         return fleet.history().events(kind);
     }
@@ -219,7 +226,7 @@
         awaitState("readiness " + status + " of " + machine.node(), () -> fleet.readiness(machine) == status);
     }
 
-    /** The response of a control process for a path; an empty object if the status is not 200. */
+    /** Returns the response of a control process for a path, or an empty object if the status is not 200. */
     JsonObject view(FleetProcess process, String path) {
         return fleet.operator().view(process.machine(), path);
     }
@@ -240,7 +247,7 @@
         return status.has("config_version") && status.get("config_version").getAsLong() == version;
     }
 
-    /** A control process other than the excluded one. */
+    /** Returns a control process other than the excluded one. */
     FleetProcess controlOtherThan(FleetProcess excluded) {
         return fleet.control().stream()
                 .filter(process -> process != excluded)
--- a/cli/src/test/java/dewplank/fleet/MixedBuildsRun.java
+++ b/cli/src/test/java/dewplank/fleet/MixedBuildsRun.java
@@ -34,7 +34,10 @@
     private static final String EARLIER_JAR = System.getProperty("earlier.jar");
     private static final int CONTROL_PLANES = 3;
     private static final int DATA_PLANES = 3;
-    /** Either control plane may become the next lease holder, so both directions may take several attempts. */
+    /**
+     * The maximum number of lease holders that are killed. The next holder may run either build, so several moves
+     * may be needed until the lease has moved in both directions.
+     */
     private static final int MAX_LEASE_MOVES = 30;
 
     private static final int RATE_PER_S = 200;
--- a/cli/src/test/java/dewplank/fleet/OperatorTest.java
+++ b/cli/src/test/java/dewplank/fleet/OperatorTest.java
@@ -22,7 +22,7 @@
 class OperatorTest {
     private static final int RACES = 12;
     private static final RouteSpec ADDED = RouteSpec.to("plain", "never", RouteSpec.Kind.SAFE);
-    private static final long NEXT = 5;
+    private static final long NEXT_VERSION = 5;
 
     @Test
     void everyKindOfInvalidConfigurationIsRejected() throws Exception {
@@ -42,7 +42,7 @@
             assertEquals(
                     404,
                     harness.awaitOutcome(0, ClientRequest.plain(ADDED, "x")).status());
-            harness.putConfiguration(INITIAL.withVersion(NEXT), INITIAL.version(), 0);
+            harness.putConfiguration(INITIAL.withVersion(NEXT_VERSION), INITIAL.version(), 0);
         });
     }
 
@@ -52,7 +52,7 @@
 
     /** Returns the current configuration with an additional route and further edits. */
     private static String editedConfiguration(Edit edit) {
-        JsonObject document = INITIAL.with(NEXT, ADDED).json();
+        JsonObject document = INITIAL.with(NEXT_VERSION, ADDED).json();
         JsonArray routes = document.getAsJsonArray("routes");
         edit.apply(document, routes.get(routes.size() - 1).getAsJsonObject());
         return document.toString();
@@ -60,7 +60,7 @@
 
     private static Map<String, String> invalidConfigurations() {
         Map<String, String> invalid = new LinkedHashMap<>();
-        String complete = INITIAL.with(NEXT, ADDED).json().toString();
+        String complete = INITIAL.with(NEXT_VERSION, ADDED).json().toString();
         invalid.put("truncated", complete.substring(0, complete.length() - 1));
         invalid.put("not JSON", "never");
         invalid.put("trailing text", complete + "}");
@@ -96,8 +96,11 @@
         invalid.put("removed service in use", "{\"config_version\":5,\"remove\":{\"services\":[\"plain\"]}}");
         invalid.put("current version", "{\"config_version\":3,\"remove\":{\"routes\":[\"read\"]}}");
         invalid.put("truncated", "{\"config_version\":5,\"remove\":{\"routes\":[\"read\"]}");
-        String route =
-                INITIAL.with(NEXT, ADDED).json().getAsJsonArray("routes").get(4).toString();
+        String route = INITIAL.with(NEXT_VERSION, ADDED)
+                .json()
+                .getAsJsonArray("routes")
+                .get(4)
+                .toString();
         invalid.put(
                 "unknown service",
                 "{\"config_version\":5,\"upsert\":{\"routes\":["
--- a/cli/src/test/java/dewplank/fleet/Programs.java
+++ b/cli/src/test/java/dewplank/fleet/Programs.java
@@ -31,7 +31,7 @@
         return command;
     }
 
-    /** The path and the options of the JVM, without a class path. */
+    /** Returns the path and the options of the JVM, without a class path. */
     static List<String> java() {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
--- a/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
+++ b/cli/src/test/java/dewplank/fleet/ServerFaultTest.java
@@ -34,19 +34,19 @@
  * servers of a kind, so each test ensures that the faulty server receives a request.
  */
 class ServerFaultTest {
-    private static final int PAUSED_AFTER = 4;
+    private static final int PAUSE_AFTER_EVENTS = 4;
     private static final int REQUESTS = 4;
 
-    /** A stream that is paused after {@link #PAUSED_AFTER} events, and the server that sends it. */
+    /** A stream that is paused after {@link #PAUSE_AFTER_EVENTS} events, and the server that sends it. */
     private record PausedStream(ClientAttempt stream, ModelServer server) {}
 
     private static PausedStream pauseStream(FleetHarness harness, ClientRequest request) throws Exception {
-        harness.decodeServers.forEach(server -> server.pauseStreamsAfter(PAUSED_AFTER));
+        harness.decodeServers.forEach(server -> server.pauseStreamsAfter(PAUSE_AFTER_EVENTS));
         ClientAttempt stream = harness.send(0, request);
         StreamEventSent sent = harness.await(
                 "the stream has started",
                 StreamEventSent.class,
-                event -> event.id() == PAUSED_AFTER && event.attemptId().equals(stream.id()));
+                event -> event.id() == PAUSE_AFTER_EVENTS && event.attemptId().equals(stream.id()));
         ModelServer server = FleetHarness.serverOf(harness.decodeServers, sent.server());
         return new PausedStream(stream, server);
     }
@@ -86,11 +86,11 @@
         FleetHarness.run(1, 1, harness -> {
             harness.prefillServers.forEach(server -> server.behaviour(Behaviour.UNRESPONSIVE));
             ClientAttempt first = harness.send(0, FleetHarness.generation(CHAT, "first"));
-            Arrived unanswered = harness.await(
+            Arrived arrivedPrompt = harness.await(
                     "the prompt at an unresponsive prefill server",
                     Arrived.class,
                     arrival -> arrival.attemptId().equals(first.id()) && arrival.prefill());
-            ModelServer working = FleetHarness.serverOtherThan(harness.prefillServers, unanswered.server());
+            ModelServer working = FleetHarness.serverOtherThan(harness.prefillServers, arrivedPrompt.server());
             working.behaviour(Behaviour.WORKS);
             assertTrue(Futures.await(first.ended()).served());
             assertGenerationsServed(harness);
@@ -229,7 +229,7 @@
         return Futures.await(attempt.ended());
     }
 
-    /** The first request is sure to reach the other server; afterwards the data plane may avoid the address. */
+    /** The first request always reaches the other server; afterwards the data plane may avoid the address. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aServerThatReusesAnAddressRunsNoRequestsOfThePreviousServer(boolean safe) throws Exception {
@@ -288,8 +288,8 @@
     }
 
     /**
-     * Keeps a request in flight at one plain server and returns the other one. That server is sure to receive the next
-     * request, since a data plane picks the server with fewer requests in flight.
+     * Keeps a request in flight at one plain server and returns the other one. That server receives the next request,
+     * because a data plane picks the server with fewer requests in flight.
      */
     private static PlainServer serverOfNextRequest(FleetHarness harness) throws Exception {
         harness.plainServers.forEach(server -> server.behaviour(Behaviour.UNRESPONSIVE));
--- a/cli/src/test/java/dewplank/fleet/TenantTest.java
+++ b/cli/src/test/java/dewplank/fleet/TenantTest.java
@@ -41,7 +41,7 @@
     private static final RouteSpec OPEN =
             RouteSpec.to("plain", "open", RouteSpec.Kind.SAFE).withPublicAccess();
 
-    private static final FleetConfiguration KEYED =
+    private static final FleetConfiguration WITH_TENANTS =
             INITIAL.with(INITIAL.version() + 1, OPEN).withTenants(INITIAL.version() + 1, ACME, BIRCH);
 
     private static final ClientRequest WITHOUT_KEY = ClientRequest.plain(READ, "no-key");
@@ -77,7 +77,7 @@
     @Test
     void aKeyIsAcceptedEverywhereUnderItsTenantsNameUntilItIsRevoked() throws Exception {
         FleetHarness.run(CONTROL_PLANES, DATA_PLANES, harness -> {
-            putTenants(harness, KEYED);
+            putTenants(harness, WITH_TENANTS);
             for (int edge = 0; edge < DATA_PLANES; edge++) {
                 ClientAttempt attempt = harness.send(edge, OF_ACME);
                 assertTrue(Futures.await(attempt.ended()).served());
@@ -85,8 +85,8 @@
                         .equals(attempt.id()));
                 assertEquals(Optional.of(ACME.name()), arrived.tenant());
             }
-            FleetConfiguration next = KEYED.withTenants(KEYED.version() + 1, ACME.withoutKeys(), BIRCH);
-            assertEquals(200, Futures.await(harness.operator().patch(next, KEYED, 1)));
+            FleetConfiguration next = WITH_TENANTS.withTenants(WITH_TENANTS.version() + 1, ACME.withoutKeys(), BIRCH);
+            assertEquals(200, Futures.await(harness.operator().patch(next, WITH_TENANTS, 1)));
             awaitStatusEverywhere(harness, OF_ACME, 401);
             assertServedEverywhere(harness, OF_BIRCH);
             assertServedEverywhere(harness, PUBLIC);
@@ -97,7 +97,7 @@
     @Test
     void keysAreRejectedWithinTheTimeLimitAfterAllControlPlanesArePaused() throws Exception {
         FleetHarness.run(CONTROL_PLANES, DATA_PLANES, harness -> {
-            putTenants(harness, KEYED);
+            putTenants(harness, WITH_TENANTS);
             assertServedEverywhere(harness, OF_ACME);
             for (FleetProcess process : harness.control()) {
                 process.pause();
@@ -117,17 +117,17 @@
                 process.resume();
             }
             awaitStatusEverywhere(harness, OF_ACME, 200);
-            Set<String> keyed = attemptsOf(harness, OF_ACME);
+            Set<String> acmeAttemptIds = attemptIdsOf(harness, OF_ACME);
             assertEquals(
                     List.of(),
                     harness.events(RunStarted.class).stream()
-                            .filter(run -> keyed.contains(run.attemptId()))
+                            .filter(run -> acmeAttemptIds.contains(run.attemptId()))
                             .filter(run -> run.atMs() > pausedAtMs + FleetBounds.REVOKE_MS && run.atMs() < resumedAtMs)
                             .toList());
         });
     }
 
-    private static Set<String> attemptsOf(FleetHarness harness, ClientRequest request) {
+    private static Set<String> attemptIdsOf(FleetHarness harness, ClientRequest request) {
         return harness.events(AttemptSent.class).stream()
                 .filter(sent -> sent.request().equals(request))
                 .map(AttemptSent::attemptId)
@@ -139,7 +139,9 @@
     @Test
     void aFleetWideLimitHoldsWhileTheControlPlaneThatAssignsSharesIsKilled() throws Exception {
         FleetHarness.run(CONTROL_PLANES, DATA_PLANES, harness -> {
-            putTenants(harness, KEYED.withTenants(KEYED.version(), ACME.withLimit(RATE_PER_S, BURST), BIRCH));
+            putTenants(
+                    harness,
+                    WITH_TENANTS.withTenants(WITH_TENANTS.version(), ACME.withLimit(RATE_PER_S, BURST), BIRCH));
             awaitStatusEverywhere(harness, OF_ACME, 200);
             SteadyLoad load = harness.fleet.load(List.of(OF_ACME));
             awaitAttemptsFor(harness, FleetBounds.QUOTA_WINDOW_S);
@@ -164,7 +166,7 @@
     /** The times at which a request was sent and started to run. */
     private record Run(double sentAtMs, double startedAtMs) {}
 
-    /** Checks rule QUOTA: limits the requests that were sent and started to run within each window. */
+    /** Checks the rule QUOTA, which limits the requests that are sent and start to run within each window. */
     private static void assertLimitHolds(FleetHarness harness) {
         double windowMs = FleetBounds.QUOTA_WINDOW_S * MS_PER_S;
         double bound = (RATE_PER_S * FleetBounds.QUOTA_WINDOW_S + BURST) * (1 + FleetBounds.QUOTA_OVERSHOOT)
--- a/cli/src/test/java/dewplank/fleet/soak/ProcessStepRunner.java
+++ b/cli/src/test/java/dewplank/fleet/soak/ProcessStepRunner.java
@@ -16,7 +16,7 @@
     private final FleetProcess process;
     private final Random random;
 
-    /** {@code seed} determines which seed nodes are listed in changed settings files. */
+    /** Creates a runner; {@code seed} determines which seed nodes changed settings files list. */
     ProcessStepRunner(FleetHarness harness, FleetProcess process, long seed) {
         this.harness = harness;
         this.process = process;
@@ -56,7 +56,7 @@
         return indexes.subList(0, 1 + random.nextInt(indexes.size()));
     }
 
-    /** Waits for the program to handle SIGHUP, which terminates a JVM by default. */
+    /** Waits until the program listens, as it then handles SIGHUP, which terminates a JVM by default. */
     private void awaitListening() throws Exception {
         harness.awaitState(node() + " is up", this::isListening);
     }
--- a/cli/src/test/java/dewplank/fleet/soak/SoakPlan.java
+++ b/cli/src/test/java/dewplank/fleet/soak/SoakPlan.java
@@ -15,7 +15,7 @@
     private static final int ROUTES = 6;
 
     /** Generates a plan in which no series starts after {@code durationMs}. */
-    static SoakPlan draw(long seed, double durationMs, int controlMachines, int dataMachines) {
+    static SoakPlan generate(long seed, double durationMs, int controlMachines, int dataMachines) {
         Random random = new Random(seed);
         return new SoakPlan(
                 seed,
@@ -27,7 +27,7 @@
     private static List<List<ProcessStep>> stepsByProcess(Random random, double durationMs, int machines) {
         List<List<ProcessStep>> stepsByProcess = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
-            stepsByProcess.add(new ProcessStepGenerator(random).draw(durationMs));
+            stepsByProcess.add(new ProcessStepGenerator(random).generate(durationMs));
         }
         return stepsByProcess;
     }
@@ -54,7 +54,7 @@
         private static final double MAX_GAP_MS = 800;
         private static final int MAX_RESTARTS = 3;
 
-        /** A series of steps with short pauses only. */
+        /** Steps that follow each other with only short pauses between them. */
         private enum Series {
             RESTART,
             RELOAD_AND_RESTART,
@@ -78,43 +78,43 @@
             this.availableSeries = random.nextBoolean() ? PLANNED_MAINTENANCE : ALL_SERIES;
         }
 
-        List<ProcessStep> draw(double durationMs) {
-            pause(MAX_PAUSE_MS);
+        List<ProcessStep> generate(double durationMs) {
+            advance(MAX_PAUSE_MS);
             while (atMs < durationMs) {
-                drawSeries();
-                pause(MAX_PAUSE_MS);
+                addSeries();
+                advance(MAX_PAUSE_MS);
             }
             return List.copyOf(steps);
         }
 
-        private void drawSeries() {
+        private void addSeries() {
             switch (availableSeries.get(random.nextInt(availableSeries.size()))) {
                 case RESTART -> restart();
                 case RELOAD_AND_RESTART -> {
                     reload();
-                    pause(MAX_GAP_MS);
+                    advance(MAX_GAP_MS);
                     restart();
                 }
                 case RESTARTS -> {
                     int restarts = 1 + random.nextInt(MAX_RESTARTS);
                     for (int i = 0; i < restarts; i++) {
                         restart();
-                        pause(MAX_GAP_MS);
+                        advance(MAX_GAP_MS);
                     }
                 }
                 case RELOADS -> {
                     reload();
-                    pause(MAX_GAP_MS);
+                    advance(MAX_GAP_MS);
                     reload();
                 }
                 case KILL_AND_START -> {
                     add(Kind.KILL);
-                    pause(MAX_DOWN_MS);
+                    advance(MAX_DOWN_MS);
                     add(Kind.START);
                 }
                 case FREEZE_AND_THAW -> {
                     add(Kind.FREEZE);
-                    pause(MAX_FROZEN_MS);
+                    advance(MAX_FROZEN_MS);
                     add(Kind.THAW);
                 }
             }
@@ -123,7 +123,7 @@
         private void restart() {
             add(Kind.TERMINATE);
             atMs += TERMINATION_MS;
-            pause(MAX_DOWN_MS);
+            advance(MAX_DOWN_MS);
             add(Kind.START);
         }
 
@@ -135,7 +135,7 @@
             steps.add(new ProcessStep(atMs, kind));
         }
 
-        private void pause(double maxMs) {
+        private void advance(double maxMs) {
             atMs += random.nextDouble(maxMs);
         }
     }
--- a/cli/src/test/java/dewplank/fleet/soak/SoakRun.java
+++ b/cli/src/test/java/dewplank/fleet/soak/SoakRun.java
@@ -47,7 +47,7 @@
 
     @Test
     void violatesNoRuleDuringConcurrentFaultsAndPlannedMaintenance() throws Exception {
-        SoakPlan plan = SoakPlan.draw(SEED, SECONDS * MS_PER_S, CONTROL_PLANES, DATA_PLANES);
+        SoakPlan plan = SoakPlan.generate(SEED, SECONDS * MS_PER_S, CONTROL_PLANES, DATA_PLANES);
         System.out.print(plan.text());
         try {
             FleetHarness.run(CONTROL_PLANES, DATA_PLANES, harness -> runPlan(plan, harness));
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Each sequence of steps has a separate thread, which keeps the steps in order. */
+    /** Returns a new thread for one sequence of steps, which keeps the steps in order. */
     private ScheduledExecutorService newThread() {
         ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
         threads.add(thread);
--- a/cli/src/test/java/dewplank/sidecar/PeerHealthVotesTest.java
+++ b/cli/src/test/java/dewplank/sidecar/PeerHealthVotesTest.java
@@ -35,7 +35,7 @@
 /**
  * Health votes between three sidecar processes, whose datagrams pass through a stand-in network that can drop them. One
  * server fails requests of the first two processes (the busy ones) and serves those of the third (the observer). The
- * observer has no failures of its own, so it only avoids the server because of the votes of the busy processes.
+ * requests of the observer don't fail, so it avoids the server only because of the votes of the busy processes.
  */
 class PeerHealthVotesTest {
     private static final int PROCESSES = 3;
@@ -317,7 +317,7 @@
 
         network.dropsAll = false;
         awaitVotesOfBothBusyProcesses();
-        awaitVotesOfBothBusyProcesses(); // all votes sent before have arrived
+        awaitVotesOfBothBusyProcesses(); // all earlier votes have arrived by now
         assertFalse(
                 isFailingServerPickedWhileBothVotesAreValid(observer),
                 "the votes of both other processes are not counted");
--- a/cli/src/test/java/dewplank/sidecar/ReloadTest.java
+++ b/cli/src/test/java/dewplank/sidecar/ReloadTest.java
@@ -21,7 +21,7 @@
  */
 @Timeout(value = ReloadTest.TIMEOUT_S, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ReloadTest {
-    static final long TIMEOUT_S = 60; // only reached when a test fails
+    static final long TIMEOUT_S = 60; // expires only if a test fails
     /** Nothing else uses this address, so no other process can take its ports before the program listens. */
     private static final String LISTEN_HOST = "127.0.0.2";
 
@@ -45,7 +45,7 @@
                 write(file, third);
                 signal(program, "HUP");
                 third.next();
-                signal(program, "TERM"); // the program drains
+                signal(program, "TERM"); // SIGTERM starts a drain
                 awaitLine(log, "drained");
                 assertEquals(143, program.waitFor());
             } finally {
