--- a/lab/src/main/java/dewplank/lab/Comparison.java
+++ b/lab/src/main/java/dewplank/lab/Comparison.java
@@ -13,7 +13,7 @@
  * that the influence of the seeds on a figure cancels out.
  */
 public final class Comparison {
-    /** One cell of an experiment. {@code difference}: second minus first, over all pairs. */
+    /** The comparison of one cell. {@code difference}: the second figure minus the first, over all pairs. */
     public record Row(
             String cell,
             String firstPolicy,
--- a/lab/src/main/java/dewplank/lab/LiveTable.java
+++ b/lab/src/main/java/dewplank/lab/LiveTable.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /**
- * Prints the progress of a run: a row each second, and starts and stops of servers and sidecars. On the run's thread.
+ * Prints a row of figures each second, and each start and stop of a server or sidecar. Called on the run's thread.
  */
 final class LiveTable implements RecordedEvent.Recorder {
     private static final double INTERVAL_MS = 1_000;
--- a/lab/src/main/java/dewplank/lab/LiveTrial.java
+++ b/lab/src/main/java/dewplank/lab/LiveTrial.java
@@ -16,15 +16,15 @@
  * Called on the run's thread; the results are read after the run.
  */
 public final class LiveTrial implements LoopbackRun.Observer {
-    /** Added to each time limit for runs on sockets, as the platform's protocol specifies. */
+    /** The slack added to each time limit for runs on sockets, as the platform's protocol specifies. */
     private static final double MESSAGE_SLACK_MS = 50;
-    /** For costs that are counted only in virtual time. */
+    /** The value of costs that are counted only in virtual time. */
     private static final long NOT_COUNTED = 0;
 
     private final Scenario scenario;
     private final Auditor auditor;
     private final Consumer<String> output;
-    private RecordedEvent.Recorder table = event -> {}; // until the run starts
+    private RecordedEvent.Recorder table = event -> {}; // replaced when the run starts
     private ServiceMetrics service;
     private EmulatedEnvironment environment;
 
--- a/lab/src/main/java/dewplank/lab/LossBreakdown.java
+++ b/lab/src/main/java/dewplank/lab/LossBreakdown.java
@@ -11,10 +11,10 @@
 
 /**
  * Splits the value that a run lost by the final outcome of each request. Each rejection is compared with the true state
- * of the servers at its time: it lost value needlessly if some server would have met the latency target.
+ * of the servers at that time: it was needless if some server would have met the latency target.
  *
- * <p>Forwards all events and outcomes to the recorder and the outcome listener that it wraps. On the thread that runs
- * the emulated environment.
+ * <p>Forwards all events and outcomes to the recorder and the outcome listener that it wraps. Called on the thread
+ * that runs the emulated environment.
  */
 public final class LossBreakdown implements RecordedEvent.Recorder, Clients.OutcomeListener {
     /** The causes of lost value, in the order of the table. */
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Sets the environment whose true server state rejections are compared with. Called once, before the run starts.
+     * Sets the environment that provides the true state of the servers. Called once, before the run starts.
      */
     public void attach(EmulatedEnvironment emulatedEnvironment) {
         environment = emulatedEnvironment;
--- a/lab/src/main/java/dewplank/lab/ReportCharts.java
+++ b/lab/src/main/java/dewplank/lab/ReportCharts.java
@@ -26,7 +26,7 @@
     private static final int WIDTH_PX = 900;
     private static final int HEIGHT_PX = 420;
 
-    /** Means over seeds and half widths of their intervals, in the order of the x axis; half width 0 if undefined. */
+    /** Means over seeds and half widths of their confidence intervals, by x position; an undefined half width is 0. */
     private static final class Series {
         final List<Double> means = new ArrayList<>();
         final List<Double> halfWidths = new ArrayList<>();
--- a/lab/src/main/java/dewplank/lab/Runner.java
+++ b/lab/src/main/java/dewplank/lab/Runner.java
@@ -104,7 +104,7 @@
         try {
             return Trial.run(cell.scenario(), job.policy(), job.seed(), false)
                     .result(cell.scenarioName(), cell.parameters(), job.policy(), job.seed());
-        } catch (RuntimeException e) { // of any type, to add which run failed
+        } catch (RuntimeException e) { // catches any type to add the failed run to the message
             throw new IllegalStateException(
                     "scenario " + cell.scenarioName() + " " + cell.parameters() + ", policy " + job.policy() + ", seed "
                             + job.seed() + ": " + e,
--- a/lab/src/main/java/dewplank/lab/ServiceMetrics.java
+++ b/lab/src/main/java/dewplank/lab/ServiceMetrics.java
@@ -11,7 +11,7 @@
 
 /**
  * Measures the service of the clients: the value served within the latency target of its class over the requested
- * value, without the first second. A client's retries belong to its first attempt and count towards its latency.
+ * value, excluding the first second. A client's retries belong to its first attempt and count towards its latency.
  * Updated on the thread that runs the emulated environment; read on that thread or after the run.
  */
 public final class ServiceMetrics implements Clients.OutcomeListener {
--- a/lab/src/main/java/dewplank/lab/Trial.java
+++ b/lab/src/main/java/dewplank/lab/Trial.java
@@ -12,13 +12,13 @@
 /**
  * The evaluation of one simulation run.
  *
- * @param service the service that the clients got
+ * @param service metrics of the service that the clients received
  * @param auditor the auditor with the violations that it found
  * @param isInvalid whether the run is invalid, because the emulator itself ran too late for the figures to describe the
  *     sidecars; only on sockets
  */
 public record Trial(ServiceMetrics service, Auditor auditor, Cost cost, boolean isInvalid) {
-    /** In virtual time a message takes at most a few milliseconds, including a handshake. */
+    /** The slack for message transfer. In virtual time a message and its handshake take a few milliseconds at most. */
     private static final double MESSAGE_SLACK_MS = 50;
 
     /** A trial and the breakdown of the value that it lost. */
--- a/lab/src/main/java/dewplank/lab/audit/Auditor.java
+++ b/lab/src/main/java/dewplank/lab/audit/Auditor.java
@@ -24,7 +24,7 @@
  */
 public final class Auditor implements RecordedEvent.Recorder {
     private static final int MAX_RETAINED_VIOLATIONS = 50;
-    /** How long an attempt is stored after the longest deadline, for late events. */
+    /** The time for which an attempt is stored after the longest deadline, so that late events still find it. */
     private static final double RETENTION_MS = 3_000;
 
     private final Scenario scenario;
--- a/lab/src/main/java/dewplank/lab/audit/RepetitionCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/RepetitionCheck.java
@@ -7,8 +7,8 @@
 
 /**
  * Checks that no request takes effect twice or is sent in a way that risks it. An unsafe request that may have run must
- * not be sent again, a keyed one only within its deduplication window and scope, and a request whose client was
- * rejected must not have run unless a retry is harmless.
+ * not be sent again, a keyed one only within its deduplication window and scope, and a request must not have run if
+ * its client received a rejection, unless a retry is harmless.
  */
 final class RepetitionCheck implements RuleCheck {
     private final Scenario scenario;
--- a/lab/src/main/java/dewplank/lab/audit/ResponseCheck.java
+++ b/lab/src/main/java/dewplank/lab/audit/ResponseCheck.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Checks that each request gets exactly one final response, made for this request and in time. Requests that were lost
- * while their sidecar was down are no violation.
+ * Checks that each request gets exactly one final response, which belongs to this request and arrives in time. Requests
+ * that were lost while their sidecar was down are not violations.
  */
 final class ResponseCheck implements RuleCheck {
     private static final String NO_END_RECORDED = "the end of the request was not recorded";
--- a/lab/src/main/java/dewplank/lab/audit/Rule.java
+++ b/lab/src/main/java/dewplank/lab/audit/Rule.java
@@ -16,7 +16,7 @@
     SENT_TWICE,
     /** A request that is not safe took effect twice. */
     EFFECT_TWICE,
-    /** A client was rejected, which states that its request never ran, although it may have run. */
+    /** A client received a rejection, which states that its request never ran, although it may have run. */
     REFUSED_AFTER_RUN,
     /** A keyed request was sent again after its deduplication window. */
     KEYED_AFTER_WINDOW("KEYED_TOO_LATE"),
--- a/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
+++ b/lab/src/main/java/dewplank/lab/bench/DecisionBench.java
@@ -114,7 +114,7 @@
         }
     }
 
-    /** The same after the rating of one server has changed. The method name is printed, so scripts may match it. */
+    /** As {@link #request()}, after the rating of one server has changed. Scripts may match the printed method name. */
     @Benchmark
     public void requestAfterAChangeOfTheList() {
         changedServer = (changedServer + 1) % servers;
--- a/lab/src/main/java/dewplank/lab/load/LoadClock.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadClock.java
@@ -13,7 +13,7 @@
     /** Runs the task after {@code delayMs}, as precisely as the clock allows. Any thread may call it. */
     void schedule(double delayMs, Runnable task);
 
-    /** Runs the task after {@code delayMs} or up to one tick later, which costs less. On the loop's thread only. */
+    /** Like {@link #schedule}, but up to one tick late, which costs less. Must be called on the loop's thread. */
     void scheduleTimeout(double delayMs, Runnable task);
 
     /** The clock of the loop itself. */
--- a/lab/src/main/java/dewplank/lab/load/LoadOutcome.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadOutcome.java
@@ -6,11 +6,11 @@
 /**
  * The measurements of a load run.
  *
- * @param classes one for each class, in the order of the plan
+ * @param classes one outcome for each class, in the order of the plan
  * @param lagUs lag of the tool itself in microseconds, at wake-ups and at sends for which a connection was free
  * @param busyFraction fraction of a core that the busiest loop used; near 1 the tool itself limits the figures
  * @param elapsedS seconds from the first intended start to the last response
- * @param connectionsOpened by all workers in total
+ * @param connectionsOpened number of connections that all workers opened in total
  */
 public record LoadOutcome(
         List<ClassOutcome> classes, Histogram lagUs, double busyFraction, double elapsedS, long connectionsOpened) {
--- a/lab/src/main/java/dewplank/lab/load/LoadPlan.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadPlan.java
@@ -11,13 +11,13 @@
 /**
  * The configuration of a load run.
  *
- * @param targets receive the requests in turn
+ * @param targets the targets, which receive the requests in turn
  * @param schedule the intended starts of the requests
  * @param warmUpRatePerSecond the rate of {@link #warmUp}
- * @param classes of requests, drawn at random by weight
- * @param headers of each request, as {@code NAME: VALUE}; {@code {id}} and {@code {class}} are replaced
- * @param connections maximum open at the same time over all workers and targets; each worker may open at least one
- *     per target
+ * @param classes the classes of requests, drawn at random by weight
+ * @param headers the headers of each request, as {@code NAME: VALUE}; {@code {id}} and {@code {class}} are replaced
+ * @param connections maximum number of open connections over all workers and targets; each worker may open at least
+ *     one per target
  * @param threads number of workers, each with an event loop
  * @param timeoutMs time from sending a request to its timeout
  * @param sourceAddresses number of loopback addresses that each worker connects from; 0: the system chooses
@@ -53,7 +53,7 @@
      * An address and the path to request there.
      *
      * @param host value of the {@code Host} header
-     * @param path including the query
+     * @param path the path and the query
      */
     public record Target(InetSocketAddress address, String host, String path) {
         private static final int DEFAULT_PORT = 80;
--- a/lab/src/main/java/dewplank/lab/load/LoadRun.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadRun.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Runs the whole plan and waits until each request has its response, has failed or has timed out.
+     * Runs the plan and waits until each request has its response, has failed or has timed out.
      *
      * @throws IOException if an event loop cannot be created or a source address is invalid
      */
--- a/lab/src/main/java/dewplank/lab/load/LoadWorker.java
+++ b/lab/src/main/java/dewplank/lab/load/LoadWorker.java
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Source addresses: with a single one, thousands of connections to one target would exhaust the ephemeral ports.
+     * Returns the source addresses. Thousands of connections from one address would exhaust its ephemeral ports.
      */
     private List<InetAddress> sourceAddresses() throws IOException {
         List<InetAddress> addresses = new ArrayList<>();
@@ -103,7 +103,7 @@
         return finished.await(timeout, unit);
     }
 
-    /** Any thread may call it. */
+    /** Stops the event loop. Any thread may call it. */
     void stop() {
         loop.stop();
     }
@@ -214,7 +214,7 @@
         }
     }
 
-    /** One for each class, in the order of the plan; valid only after the worker has finished. */
+    /** One outcome for each class, in the order of the plan; valid only after the worker has finished. */
     List<ClassOutcome> classes() {
         return classes;
     }
--- a/lab/src/main/java/dewplank/lab/load/ShapedSchedule.java
+++ b/lab/src/main/java/dewplank/lab/load/ShapedSchedule.java
@@ -11,9 +11,9 @@
  * @param ratePerSecond the rate; for a ramp the initial rate, for bursts the base rate
  * @param finalRatePerSecond rate at the end of a ramp
  * @param stepRatesPerSecond rates of the steps, which have equal lengths
- * @param swing of bursts: fraction of the rate that is added in the first half of each period and subtracted in the
- *     second
- * @param periodMs period of bursts
+ * @param swing for bursts, the fraction of the rate that is added in the first half of each period and subtracted in
+ *     the second half
+ * @param periodMs for bursts, the length of a period
  */
 public record ShapedSchedule(
         Shape shape,
@@ -100,7 +100,7 @@
             this.thinning = new RandomStreams(seed).stream("thinning", part);
             this.maxRatePerMs = schedule.maxRatePerMs();
             this.maxPartRatePerMs = maxRatePerMs / parts;
-            if (schedule.shape == Shape.UNIFORM) { // the starts of the parts are interleaved, one overall gap apart
+            if (schedule.shape == Shape.UNIFORM) { // the starts of all parts together have equal gaps
                 this.gaps = () -> 1;
                 this.lastMs = part / maxRatePerMs - 1 / maxPartRatePerMs;
             } else {
--- a/lab/src/main/java/dewplank/lab/policies/OpenRequest.java
+++ b/lab/src/main/java/dewplank/lab/policies/OpenRequest.java
@@ -10,7 +10,7 @@
 
 /** A request that has no response yet, and its attempts so far. */
 final class OpenRequest {
-    /** Minimum time before the deadline for a retry to start. */
+    /** The minimum time remaining before the deadline when a retry starts. */
     private static final double MIN_ATTEMPT_MS = 1;
 
     private final long id;
--- a/lab/src/main/java/dewplank/lab/policies/OraclePolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/OraclePolicy.java
@@ -21,7 +21,7 @@
  * <p>The instances of one emulated environment share the requests in transit, so they must not decide in parallel.
  */
 final class OraclePolicy extends TextbookPolicy {
-    /** An upper bound of the network delay within and across zones; requests sent earlier have arrived. */
+    /** An upper bound of the network delay within and across zones; requests sent longer ago have arrived. */
     private static final double MAX_IN_TRANSIT_MS = 3;
     /** A request with a value of 0 per work is rejected if it would take longer than this fraction of its target. */
     private static final double MIN_ACCEPTED_FRACTION = 0.6;
--- a/lab/src/main/java/dewplank/lab/policies/TextbookPolicy.java
+++ b/lab/src/main/java/dewplank/lab/policies/TextbookPolicy.java
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Slow start: a cold server is a candidate with the probability that its warm-up has reached. */
+    /** Slow start: a cold server is a candidate with a probability that rises linearly to 1 during its warm-up. */
     boolean passesSlowStart(ServerState server) {
         Double startedAtMs = server.endpoint.startedAtMs();
         double slowStartMs = settings.safety().slowStartMs();
--- a/lab/src/test/java/dewplank/lab/BuoysScenariosTest.java
+++ b/lab/src/test/java/dewplank/lab/BuoysScenariosTest.java
@@ -55,7 +55,7 @@
 
     /** Three of twelve servers and a quarter of the sidecars stop for 12 s, and their requests in flight are lost. */
     @Test
-    void theLossOfABuildingCostsLittleMoreThanWithTheOracle() {
+    void theLossOfABuildingReducesTheServiceLittleMoreThanWithTheOracle() {
         double oracle = mean(
                 scenario("buoys-building"), "oracle", trial -> trial.service().valueRatio());
         double service = service("buoys-building");
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void theSilentLossOfASixthOfTheServersCostsLittle() {
+    void theSilentLossOfASixthOfTheServersReducesTheServiceOnlySlightly() {
         double service = service("buoys-silent");
         assertTrue(service > 0.92, "service " + service);
     }
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aNoisyNeighbourOnHalfOfTheMachinesCostsLittle() {
+    void aNoisyNeighbourOnHalfOfTheMachinesReducesTheServiceOnlySlightly() {
         double service = service("buoys-neighbour");
         assertTrue(service > 0.85, "service " + service);
     }
@@ -92,11 +92,11 @@
 
     /** With little spare capacity some tenant must lose value, and that must be the tenant that exceeds its quota. */
     @Test
-    void aTenantAtTenTimesItsQuotaDoesNotReduceTheQuotasOfOthers() {
-        Scenario flood = scenario("buoys-flood").with("load.share", 0.8);
-        double worst = mean(flood, "choice", trial -> trial.service().worstTenant());
+    void aTenantAtTenTimesItsQuotaBarelyReducesTheServiceOfOtherTenants() {
+        Scenario overQuota = scenario("buoys-flood").with("load.share", 0.8);
+        double worst = mean(overQuota, "choice", trial -> trial.service().worstTenant());
         double withTwoChoices =
-                mean(flood, "two-choices", trial -> trial.service().worstTenant());
+                mean(overQuota, "two-choices", trial -> trial.service().worstTenant());
         assertTrue(
                 worst > 0.83 && worst > withTwoChoices + 0.05,
                 "worst tenant " + worst + ", with two choices " + withTwoChoices);
@@ -151,16 +151,16 @@
 
     @Test
     void falseReportsOfOnePeerAboutAThirdOfTheServersAreOutvoted() {
-        Scenario busy = scenario("buoys").with("load.share", 0.75);
-        double withTrueReports = serviceWithFirstSidecar(PlainSidecar::new, busy);
-        double withFalseReports = serviceWithFirstSidecar(FalselyReportingSidecar::new, busy);
+        Scenario highLoad = scenario("buoys").with("load.share", 0.75);
+        double withTrueReports = serviceWithFirstSidecar(PlainSidecar::new, highLoad);
+        double withFalseReports = serviceWithFirstSidecar(FalselyReportingSidecar::new, highLoad);
         assertTrue(
                 withFalseReports > withTrueReports - 0.03,
                 withFalseReports + " with false reports, " + withTrueReports + " without");
     }
 
     @Test
-    void sidecarsWithoutPeerSummariesServeNearlyAsMuch() {
+    void sidecarsWithoutPeerSummariesProvideNearlyTheSameService() {
         Scenario errors = scenario("buoys-errors");
         double withPeers = mean(errors, "choice", trial -> trial.service().valueRatio());
         double withoutPeers = mean(errors.with("messages.lost", 1), "choice", trial -> trial.service()
--- a/lab/src/test/java/dewplank/lab/LossBreakdownTest.java
+++ b/lab/src/test/java/dewplank/lab/LossBreakdownTest.java
@@ -34,14 +34,14 @@
 
     @Test
     void requestsOfAKilledSidecarAreLostAsUnreachable() {
-        Map<Cause, Double> killed = lostFractions("sidecar-kill", "choice");
-        assertTrue(killed.getOrDefault(Cause.UNREACHABLE, 0.0) > 0, killed.toString());
+        Map<Cause, Double> lost = lostFractions("sidecar-kill", "choice");
+        assertTrue(lost.getOrDefault(Cause.UNREACHABLE, 0.0) > 0, lost.toString());
     }
 
     @Test
     void requestsThatFailAtServersAreLostAsFailedAfterSending() {
-        Map<Cause, Double> errors = lostFractions("class-errors", "random");
-        assertTrue(errors.getOrDefault(Cause.FAILED_SENT, 0.0) > 0.02, errors.toString());
+        Map<Cause, Double> lost = lostFractions("class-errors", "random");
+        assertTrue(lost.getOrDefault(Cause.FAILED_SENT, 0.0) > 0.02, lost.toString());
     }
 
     @Test
--- a/lab/src/test/java/dewplank/lab/RunnerTest.java
+++ b/lab/src/test/java/dewplank/lab/RunnerTest.java
@@ -37,18 +37,19 @@
 
     @Test
     void theSameSeedsGiveTheSameBytesOnOneThreadAndOnEight() throws Exception {
-        Path one = folder.resolve("one");
-        Path eight = folder.resolve("eight");
-        new Runner(one, 1, line -> {}).run(experiment());
-        List<Result> results = new Runner(eight, 8, line -> {}).run(experiment());
+        Path oneThread = folder.resolve("one");
+        Path eightThreads = folder.resolve("eight");
+        new Runner(oneThread, 1, line -> {}).run(experiment());
+        List<Result> results = new Runner(eightThreads, 8, line -> {}).run(experiment());
         assertArrayEquals(
-                Files.readAllBytes(one.resolve(Runner.TABLE)), Files.readAllBytes(eight.resolve(Runner.TABLE)));
+                Files.readAllBytes(oneThread.resolve(Runner.TABLE)),
+                Files.readAllBytes(eightThreads.resolve(Runner.TABLE)));
         assertEquals(RUNS, results.size());
         double written = results.get(3).figure(Figure.SERVICE);
-        double read = Runner.read(eight).get(3).figure(Figure.SERVICE);
+        double read = Runner.read(eightThreads).get(3).figure(Figure.SERVICE);
         assertEquals(written, read, 1e-6);
-        Report.write(results, "load", "<about>", "choice", eight.resolve("report.html"));
-        String html = Files.readString(eight.resolve("report.html"));
+        Report.write(results, "load", "<about>", "choice", eightThreads.resolve("report.html"));
+        String html = Files.readString(eightThreads.resolve("report.html"));
         assertTrue(html.contains("<svg") && html.contains("&lt;about&gt;") && !html.contains("http-equiv"));
         assertTrue(html.contains("24 runs. Service: value served within the latency target over the value requested."));
         assertTrue(html.contains("<h2>Difference from choice</h2>"));
--- a/lab/src/test/java/dewplank/lab/audit/BrokenBalancer.java
+++ b/lab/src/test/java/dewplank/lab/audit/BrokenBalancer.java
@@ -45,7 +45,7 @@
     private final Defect defect;
     private final SplittableRandom random;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    private final Map<Long, RequestArrived> open = new HashMap<>();
+    private final Map<Long, RequestArrived> openRequests = new HashMap<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
     private Consumer<Action> actions;
     private double nowMs;
@@ -70,11 +70,11 @@
             }
         } else if (event instanceof RequestArrived request) {
             if (defect != Defect.NEVER_RESPONDS || ++arrivals % OMITTED_RESPONSE_INTERVAL != 0) {
-                open.put(request.request(), request);
+                openRequests.put(request.request(), request);
                 send(request);
             }
         } else if (event instanceof RequestAbandoned abandoned) {
-            open.remove(abandoned.request());
+            openRequests.remove(abandoned.request());
         } else if (event instanceof AttemptEnded ended) {
             endAttempt(ended);
         }
@@ -83,7 +83,7 @@
     private void send(RequestArrived request) {
         List<Endpoint> candidates = candidates();
         if (candidates.isEmpty()) {
-            open.remove(request.request());
+            openRequests.remove(request.request());
             actions.accept(new Reject(request.request(), 0));
             return;
         }
@@ -112,9 +112,9 @@
     }
 
     private void endAttempt(AttemptEnded ended) {
-        RequestArrived request = open.get(ended.request());
+        RequestArrived request = openRequests.get(ended.request());
         if (request == null || ended.requestIsOver()) {
-            open.remove(ended.request());
+            openRequests.remove(ended.request());
             return;
         }
         int attemptsSoFar = attempts.get(ended.request());
@@ -122,7 +122,7 @@
             send(request);
             return;
         }
-        open.remove(ended.request());
+        openRequests.remove(ended.request());
         boolean neverRan = attemptsSoFar == 1
                 && (ended.outcome() == Outcome.REJECTED || ended.outcome() == Outcome.CONNECT_FAILED);
         actions.accept(
--- a/lab/src/test/java/dewplank/lab/audit/ViolationTest.java
+++ b/lab/src/test/java/dewplank/lab/audit/ViolationTest.java
@@ -15,7 +15,7 @@
     private final RecordedEvent received = new RecordedEvent(20.25, Type.RECEIVED, 7, 0, 1, 3, 0);
 
     @Test
-    void aViolationByARequestIsDescribedWithItsTimeline() {
+    void aViolationOfARequestIsDescribedWithItsTimeline() {
         Violation violation = new Violation(Rule.SENT_TWICE, received, "it may have run", List.of(sent, received));
         assertEquals(
                 """
--- a/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
+++ b/lab/src/test/java/dewplank/lab/load/LoadRunTest.java
@@ -82,7 +82,8 @@
         @Test
         void matchTheDelaysOfTheTargetOnAManualClock() throws Exception {
             ManualClock clock = new ManualClock();
-            try (StubServer target = new StubServer(List.of(ANY_PORT), drawnDelays(), loop -> logged(clock.of(loop)))) {
+            try (StubServer target =
+                    new StubServer(List.of(ANY_PORT), drawnDelays(), loop -> loggingClock(clock.of(loop)))) {
                 LoadPlan plan = plan(target, ShapedSchedule.poisson(600, 5_000), 800);
                 LoadOutcome outcome = runWithClock(plan, clock);
                 double[] drawnDelaysMs = log.drawnDelaysMs();
@@ -95,8 +96,8 @@
             }
         }
 
-        /** The target's clock; the only tasks that the target schedules are its responses. */
-        private LoadClock logged(LoadClock clock) {
+        /** Returns a clock for the target that logs each response; the target schedules no other tasks with a delay. */
+        private LoadClock loggingClock(LoadClock clock) {
             return new LoadClock() {
                 @Override
                 public double nowMs() {
@@ -136,7 +137,7 @@
         @Test
         void matchTheLatenciesMeasuredOnTheSystemClock() throws Exception {
             try (StubServer target =
-                    new StubServer(List.of(ANY_PORT), drawnDelays(), loop -> logged(LoadClock.of(loop)))) {
+                    new StubServer(List.of(ANY_PORT), drawnDelays(), loop -> loggingClock(LoadClock.of(loop)))) {
                 run(plan(target, ShapedSchedule.poisson(600, 2_000), 800)); // warms up the JIT compiler
                 log.clear();
                 LoadPlan plan = plan(target, ShapedSchedule.poisson(600, 5_000), 800);
@@ -196,7 +197,7 @@
     void longBodiesResponsesToHeadAndErrorsAreCounted() throws Exception {
         EventLoop loop = new EventLoop();
         try {
-            Listener listener = new Listener(loop, ANY_PORT, 100, LongBodies::new);
+            Listener listener = new Listener(loop, ANY_PORT, 100, LongBodyEndpoint::new);
             loop.execute(listener::accept);
             InetSocketAddress address = (InetSocketAddress) listener.address();
             LoadOutcome outcome = run(new LoadPlan(
@@ -225,7 +226,7 @@
     }
 
     /** Responds with 300 kB; to HEAD without the body, to PUT with an error status. */
-    private static final class LongBodies extends HttpEndpoint {
+    private static final class LongBodyEndpoint extends HttpEndpoint {
         @Override
         protected void onRequest(RequestParser request) {
             byte[] body = new byte[300_000];
--- a/settings/src/main/java/dewplank/settings/NodeSettings.java
+++ b/settings/src/main/java/dewplank/settings/NodeSettings.java
@@ -87,7 +87,7 @@
     /** The platform's server list. */
     public record Platform(InetSocketAddress address, double callsPerSecond, double maxLagMs) {}
 
-    /** Used if the file contains no {@code catch_up_s}: the shortest time configured in any deployment so far. */
+    /** The default of {@code catch_up_s}: the shortest time configured in any deployment so far. */
     private static final double DEFAULT_CATCH_UP_S = 4;
 
     private static final double DEFAULT_QUOTA_WINDOW_S = 5;
--- a/settings/src/test/java/dewplank/settings/FileWatchTest.java
+++ b/settings/src/test/java/dewplank/settings/FileWatchTest.java
@@ -14,7 +14,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Which file changes {@link FileWatch} reports. The tests set modification times, so that none has to wait. */
+/** Tests which file changes {@link FileWatch} reports. Modification times are set, so that no test has to wait. */
 public class FileWatchTest {
     private static final long MODIFIED_AT_MS = 1_700_000_000_000L;
 
@@ -25,7 +25,7 @@
     private FileWatch watch;
 
     @Before
-    public void write() throws IOException {
+    public void createFileAndWatch() throws IOException {
         file = folder.getRoot().toPath().resolve("settings.json");
         write(file, "first", MODIFIED_AT_MS);
         watch = new FileWatch(file);
--- a/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
+++ b/settings/src/test/java/dewplank/settings/NodeSettingsTest.java
@@ -134,14 +134,14 @@
         }
     }
 
-    private static String with(String key, Object value) {
+    private static String sampleWith(String key, Object value) {
         Map<String, Object> document = Json.object(sample());
         Field field = Field.of(document, key);
         field.parent().put(field.name(), value);
         return GSON.toJson(document);
     }
 
-    private static String without(String key) {
+    private static String sampleWithout(String key) {
         Map<String, Object> document = Json.object(sample());
         Field field = Field.of(document, key);
         assertTrue(field.parent().containsKey(field.name()), key);
@@ -177,16 +177,16 @@
     @Test
     void reportsEachMissingRequiredKey() {
         for (String key : REQUIRED) {
-            assertRejected(without(key), ResultCode.KEY_MISSING, key);
-            assertRejected(with(key, null), ResultCode.KEY_MISSING, key);
+            assertRejected(sampleWithout(key), ResultCode.KEY_MISSING, key);
+            assertRejected(sampleWith(key, null), ResultCode.KEY_MISSING, key);
         }
     }
 
     @Test
     void acceptsMissingOptionalKeys() {
         for (String key : OPTIONAL) {
-            NodeSettings.parse(without(key));
-            NodeSettings.parse(with(key, null));
+            NodeSettings.parse(sampleWithout(key));
+            NodeSettings.parse(sampleWith(key, null));
         }
     }
 
@@ -196,9 +196,9 @@
             for (String key : keys) {
                 Object validValue = Field.of(Json.object(sample()), key).value();
                 assertRejected(
-                        with(key, validValue instanceof String ? 7 : "seven"), ResultCode.KEY_OF_WRONG_TYPE, key);
+                        sampleWith(key, validValue instanceof String ? 7 : "seven"), ResultCode.KEY_OF_WRONG_TYPE, key);
                 assertRejected(
-                        with(key, validValue instanceof List ? Map.of() : List.of()),
+                        sampleWith(key, validValue instanceof List ? Map.of() : List.of()),
                         ResultCode.KEY_OF_WRONG_TYPE,
                         key);
             }
@@ -207,26 +207,29 @@
 
     @Test
     void reportsElementsOfTheWrongType() {
-        assertRejected(with("seed_nodes", List.of(7)), ResultCode.KEY_OF_WRONG_TYPE, "seed_nodes[0]");
-        assertRejected(with("seed_nodes", List.of("10.0.0.4:1", "x")), ResultCode.KEY_OUT_OF_RANGE, "seed_nodes[1]");
-        assertRejected(with("internal_port_range", List.of(7)), ResultCode.KEY_MISSING, "internal_port_range[1]");
+        assertRejected(sampleWith("seed_nodes", List.of(7)), ResultCode.KEY_OF_WRONG_TYPE, "seed_nodes[0]");
         assertRejected(
-                with("internal_port_range", List.of(7, 8.5)), ResultCode.KEY_OF_WRONG_TYPE, "internal_port_range[1]");
+                sampleWith("seed_nodes", List.of("10.0.0.4:1", "x")), ResultCode.KEY_OUT_OF_RANGE, "seed_nodes[1]");
+        assertRejected(sampleWith("internal_port_range", List.of(7)), ResultCode.KEY_MISSING, "internal_port_range[1]");
+        assertRejected(
+                sampleWith("internal_port_range", List.of(7, 8.5)),
+                ResultCode.KEY_OF_WRONG_TYPE,
+                "internal_port_range[1]");
     }
 
     @Test
     void reportsEachKeyOutOfRange() {
         OUT_OF_RANGE.forEach((key, values) -> {
             for (Object value : values) {
-                assertRejected(with(key, value), ResultCode.KEY_OUT_OF_RANGE, key);
+                assertRejected(sampleWith(key, value), ResultCode.KEY_OUT_OF_RANGE, key);
             }
         });
     }
 
     @Test
     void ignoresUnknownKeys() {
-        NodeSettings.parse(with("surprise", Map.of("a", List.of(1))));
-        NodeSettings.parse(with("bounds.surprise", true));
+        NodeSettings.parse(sampleWith("surprise", Map.of("a", List.of(1))));
+        NodeSettings.parse(sampleWith("bounds.surprise", true));
     }
 
     @Test
@@ -252,25 +255,25 @@
     }
 
     @Test
-    void eachProcessTypeRequiresItsOwnKeys() {
+    void eachProcessTypeRequiresItsKeys() {
         for (String key : List.of("listen_addresses.front", "listen_addresses.readiness")) {
-            NodeSettings settings = NodeSettings.parse(without(key));
+            NodeSettings settings = NodeSettings.parse(sampleWithout(key));
             InvalidInputException error = assertThrows(InvalidInputException.class, settings::requireDataPlaneKeys);
             assertTrue(error.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), error.getMessage());
             settings.requireControlPlaneKeys();
         }
         for (String key : List.of("listen_addresses.control", "data_directory")) {
-            NodeSettings settings = NodeSettings.parse(withLossCounted(without(key)));
+            NodeSettings settings = NodeSettings.parse(withLossCounted(sampleWithout(key)));
             InvalidInputException error = assertThrows(InvalidInputException.class, settings::requireControlPlaneKeys);
             assertTrue(error.getMessage().startsWith("604 KEY_MISSING: " + key + " is missing"), error.getMessage());
             settings.requireDataPlaneKeys();
         }
     }
 
-    /** If the machine's loss does not count, its control plane may have no disk: it is then a relay. */
+    /** If the loss of its machine does not count, a control plane may run without a disk, as a relay. */
     @Test
     void aMachineWhoseLossDoesNotCountNeedsNoDisk() {
-        assertNull(NodeSettings.parse(without("data_directory"))
+        assertNull(NodeSettings.parse(sampleWithout("data_directory"))
                 .requireControlPlaneKeys()
                 .dataDirectory());
     }
@@ -284,7 +287,7 @@
 
     /** The sidecar's messages have no numbers, so that they do not change for its operators. */
     @Test
-    void otherMessagesHaveNoNumber() {
+    void messagesWithoutAResultCodeHaveNoNumber() {
         Fields fields = new Fields(Map.of("a", -1L), "configuration key ");
         assertEquals(
                 "configuration key b is missing",
