--- a/configuration/src/main/java/dewplank/configuration/AccessKeyDigest.java
+++ b/configuration/src/main/java/dewplank/configuration/AccessKeyDigest.java
@@ -11,8 +11,11 @@
  * stores nor prints the key itself, and comparing two digests takes constant time. Immutable.
  */
 public final class AccessKeyDigest {
+    /** Number of bytes of the digest that the hash code uses. */
     private static final int HASH_BYTES = 4;
+    /** Number of bytes of the digest that the fingerprint shows. */
     private static final int FINGERPRINT_BYTES = 4;
+
     private static final String FINGERPRINT_PREFIX = "sha256:";
     private static final Pattern FINGERPRINT =
             Pattern.compile(FINGERPRINT_PREFIX + "[0-9a-f]{" + 2 * FINGERPRINT_BYTES + "}");
--- a/configuration/src/main/java/dewplank/configuration/ChangeHistory.java
+++ b/configuration/src/main/java/dewplank/configuration/ChangeHistory.java
@@ -17,12 +17,13 @@
     /** The history before the first change. */
     static final ChangeHistory EMPTY = new ChangeHistory(0, List.of());
 
+    /** The current format: the base version of the oldest change, then each version with half its digest. */
     private static final int FORMAT = 2;
     /** The format of the first release: each change with its base version and its full digest. */
     private static final int FORMAT_WITH_BASES = 1;
 
     private static final int FULL_DIGEST_BYTES = 32;
-    /** Half of a SHA-256 digest is stored: 128 bits distinguish any number of changes that can occur. */
+    /** Stored bytes of each SHA-256 digest: the first half, as 128 bits distinguish all changes that can occur. */
     private static final int DIGEST_BYTES = 16;
 
     /** An accepted change: the version that it produced, and the first bytes of its digest. */
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDelta.java
@@ -21,17 +21,17 @@
  * as its length in bytes (4), followed by the text in UTF-8.
  */
 public final class ConfigurationDelta {
-    /** The field is unchanged. */
+    /** Marks a field that is unchanged. */
     static final int SAME = 0;
-    /** The field's text follows. */
+    /** Marks a field whose new text follows. */
     static final int PLAIN = 1;
-    /** Runs and items of a list follow. */
+    /** Marks a field whose list follows, as copied runs and new items. */
     static final int LIST = 2;
-    /** The end of the list. */
+    /** Marks the end of a list. */
     static final int END = 0;
-    /** Items copied from the earlier list: index of the first, count. */
+    /** Marks a run copied from the earlier list; the index of its first item and the number of items follow. */
     static final int COPY = 1;
-    /** A new item's text follows. */
+    /** Marks a new item, whose text follows. */
     static final int ITEM = 2;
 
     private ConfigurationDelta() {}
--- a/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
+++ b/configuration/src/main/java/dewplank/configuration/ConfigurationDocument.java
@@ -38,7 +38,8 @@
      */
     private static final int COMPRESSED = 64;
 
-    private static final int MAX_PLAIN_BYTES = 64 << 20; // a larger text would exceed the machines' memory
+    /** The maximum size of a decompressed payload; a larger text would exceed the machines' memory. */
+    private static final int MAX_PLAIN_BYTES = 64 << 20;
 
     private static final ConfigurationDocument EMPTY = new ConfigurationDocument(null, ChangeHistory.EMPTY);
 
--- a/configuration/src/main/java/dewplank/configuration/InvalidConfigurationException.java
+++ b/configuration/src/main/java/dewplank/configuration/InvalidConfigurationException.java
@@ -50,7 +50,7 @@
         OUT_OF_BOUNDS
     }
 
-    /** Maximum nesting: real configurations need 7, and the limit protects readers from a stack overflow. */
+    /** Maximum nesting depth of values. Real configurations need 7; the limit prevents a stack overflow of readers. */
     public static final int MAX_DEPTH = 64;
 
     private final Reason reason;
--- a/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonObjectReader.java
@@ -15,7 +15,10 @@
  * field. Used for one call only.
  */
 final class JsonObjectReader {
-    /** A long has up to 19 digits. Larger numbers are not expanded, since expanding 1e999999999 would be expensive. */
+    /**
+     * The maximum number of digits of a long. Larger numbers are not expanded, since expanding 1e999999999 would be
+     * expensive.
+     */
     private static final int MAX_LONG_DIGITS = 19;
 
     private final JsonObject object;
--- a/configuration/src/main/java/dewplank/configuration/JsonTextWriter.java
+++ b/configuration/src/main/java/dewplank/configuration/JsonTextWriter.java
@@ -12,7 +12,7 @@
 
 /** Writes a JSON tree without spaces in UTF-8; the same tree always yields the same bytes. */
 final class JsonTextWriter {
-    /** Enough for an item of the usual size, so that the buffer is rarely reallocated. */
+    /** Initial size of the buffer: enough for an item of the usual size, so that it is rarely reallocated. */
     private static final int INITIAL_CAPACITY_BYTES = 512;
 
     private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
--- a/configuration/src/main/java/dewplank/configuration/Route.java
+++ b/configuration/src/main/java/dewplank/configuration/Route.java
@@ -9,7 +9,7 @@
  * @param host the host of its requests, in lower case
  * @param pathPrefix the beginning of their paths; begins and ends with a slash
  * @param type whether requests may be retried
- * @param timeoutMs the longest that a request may take
+ * @param timeoutMs the maximum duration of a request, in milliseconds
  * @param targetLatencyMs the latency target (SLO): a response within it has its full value
  * @param priority the priority of its requests, 0 being the highest
  * @param split its services with their weights, at least one
@@ -17,7 +17,7 @@
  * @param sticky whether requests identify the parts of their prompts, which servers cache
  * @param resumable whether a stream may be resumed on another server
  * @param isPublic whether its requests need no access key
- * @param maxEventGapMs the longest gap between two events with which a stream is still on time; 0 if not configured
+ * @param maxEventGapMs the maximum time between two events of a stream that is on time; 0 if not configured
  */
 public record Route(
         String name,
--- a/configuration/src/test/java/dewplank/configuration/AccessKeyRedactionTest.java
+++ b/configuration/src/test/java/dewplank/configuration/AccessKeyRedactionTest.java
@@ -32,7 +32,7 @@
         return "{\"name\":\"" + name + "\",\"access_keys\":" + keys + ",\"rate_per_s\":2.50,\"note\":[1e2]}";
     }
 
-    private static String redacted(String text) throws InvalidConfigurationException {
+    private static String redact(String text) throws InvalidConfigurationException {
         return Samples.text(Samples.parse(text).redactedJson());
     }
 
@@ -40,8 +40,7 @@
     void replacesEachKeyWithItsFingerprintAndChangesNothingElse() throws InvalidConfigurationException {
         String text = withTenants(tenant("a", "[\"abc\",\"" + KEY + "\"]") + "," + tenant("b", "[]"));
         String fingerprint = AccessKeyDigest.of(KEY).fingerprint();
-        assertEquals(
-                text.replace("\"abc\"", "\"" + FINGERPRINT_OF_ABC + "\"").replace(KEY, fingerprint), redacted(text));
+        assertEquals(text.replace("\"abc\"", "\"" + FINGERPRINT_OF_ABC + "\"").replace(KEY, fingerprint), redact(text));
         assertEquals(text, Samples.text(Samples.parse(text).json()));
     }
 
@@ -52,7 +51,7 @@
                 withTenants(""),
                 withTenants("{\"name\":\"a\"}"),
                 withTenants(tenant("a", "null")))) {
-            assertEquals(text, redacted(text));
+            assertEquals(text, redact(text));
         }
     }
 
@@ -68,13 +67,13 @@
 
     @Property(tries = 300)
     void redactedTextsContainNoKey(@ForAll("keys") List<String> keys) throws InvalidConfigurationException {
-        String list = keys.stream()
+        String keyList = keys.stream()
                 .map(key -> Samples.text(JsonTextWriter.write(new JsonValue.JsonString(key))))
                 .collect(Collectors.joining(",", "[", "]"));
-        String shown = redacted(withTenants(tenant("a", list)));
+        String redactedText = redact(withTenants(tenant("a", keyList)));
         for (String key : keys) {
-            assertFalse(shown.contains(key), shown);
-            assertTrue(shown.contains("\"" + AccessKeyDigest.of(key).fingerprint() + "\""), shown);
+            assertFalse(redactedText.contains(key), redactedText);
+            assertTrue(redactedText.contains("\"" + AccessKeyDigest.of(key).fingerprint() + "\""), redactedText);
         }
     }
 
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationDocumentTest.java
@@ -30,7 +30,7 @@
         return new ChangeRequest(true, expected, Samples.bytes(body));
     }
 
-    private static ConfigurationDocument accepted(ConfigurationDocument document, ChangeRequest request) {
+    private static ConfigurationDocument applyValidChange(ConfigurationDocument document, ChangeRequest request) {
         return assertInstanceOf(Accepted.class, document.apply(request)).next();
     }
 
@@ -42,8 +42,8 @@
     void acceptsOnlyChangesBasedOnTheCurrentVersion() {
         assertEquals(0, EMPTY.version());
         assertNull(EMPTY.configuration());
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
-        ConfigurationDocument second = accepted(first, patch(5, "{\"config_version\":9}"));
+        ConfigurationDocument first = applyValidChange(EMPTY, put(0, Samples.document(5)));
+        ConfigurationDocument second = applyValidChange(first, patch(5, "{\"config_version\":9}"));
         assertEquals(9, second.version());
         assertEquals(Samples.document(9), Samples.text(second.configuration().json()));
         assertEquals(new VersionMismatch(9), second.apply(patch(5, "{\"config_version\":11}")));
@@ -54,8 +54,8 @@
     void recognisesARetriedChangeAfterNewerChanges() {
         ChangeRequest first = put(0, Samples.document(5));
         ChangeRequest second = patch(5, "{\"config_version\":9}");
-        ConfigurationDocument document = accepted(accepted(EMPTY, first), second);
-        document = accepted(document, put(9, Samples.document(12)));
+        ConfigurationDocument document = applyValidChange(applyValidChange(EMPTY, first), second);
+        document = applyValidChange(document, put(9, Samples.document(12)));
         document = ConfigurationDocument.decode(document.encode());
         assertEquals(new AlreadyAccepted(5), document.apply(first));
         assertEquals(new AlreadyAccepted(9), document.apply(second));
@@ -65,21 +65,21 @@
 
     @Test
     void limitsTheNumberOfChangesInTheHistory() throws IOException {
-        ConfigurationDocument document = accepted(EMPTY, put(0, Samples.document(1)));
+        ConfigurationDocument document = applyValidChange(EMPTY, put(0, Samples.document(1)));
         for (int version = 2; version <= ConfigurationDocument.MAX_HISTORY_CHANGES + 1; version++) {
-            document = accepted(document, patch(version - 1, "{\"config_version\":" + version + "}"));
+            document = applyValidChange(document, patch(version - 1, "{\"config_version\":" + version + "}"));
         }
         assertEquals(new AlreadyAccepted(2), document.apply(patch(1, "{\"config_version\":2}")));
         assertEquals(
                 ConfigurationDocument.MAX_HISTORY_CHANGES * 24
                         + 11
                         + document.configuration().json().length,
-                inflated(document.encode()).length);
+                inflate(document.encode()).length);
         assertTrue(document.encode().length <= ConfigurationDocument.MAX_HISTORY_CHANGES * 24 + 1_000);
     }
 
     /** Inflates the content of a payload, which follows its first byte. */
-    private static byte[] inflated(byte[] payload) throws IOException {
+    private static byte[] inflate(byte[] payload) throws IOException {
         return DeflateCodec.inflate(Arrays.copyOfRange(payload, 1, payload.length), 64 << 20);
     }
 
@@ -87,7 +87,7 @@
     @Test
     void compressesALargeConfiguration() {
         ChangeRequest change = put(0, Samples.large(5, 2_000));
-        ConfigurationDocument document = accepted(EMPTY, change);
+        ConfigurationDocument document = applyValidChange(EMPTY, change);
         byte[] payload = document.encode();
         assertTrue(payload.length < document.configuration().json().length / 5, payload.length + " bytes");
         assertEquals(
@@ -98,15 +98,15 @@
     @Test
     void readsUncompressedDocuments() throws IOException {
         ChangeRequest change = put(0, Samples.document(5));
-        byte[] payload = accepted(EMPTY, change).encode();
+        byte[] payload = applyValidChange(EMPTY, change).encode();
         assertEquals(
                 new AlreadyAccepted(5),
-                ConfigurationDocument.decode(inflated(payload)).apply(change));
+                ConfigurationDocument.decode(inflate(payload)).apply(change));
     }
 
     @Test
     void rejectsDamagedPayloads() {
-        byte[] payload = accepted(EMPTY, put(0, Samples.document(5))).encode();
+        byte[] payload = applyValidChange(EMPTY, put(0, Samples.document(5))).encode();
         byte[] truncated = Arrays.copyOf(payload, payload.length / 2);
         assertThrows(IllegalArgumentException.class, () -> ConfigurationDocument.decode(truncated));
         assertThrows(IOException.class, () -> DeflateCodec.inflate(DeflateCodec.deflate(new byte[1 << 20]), 1 << 10));
@@ -115,9 +115,9 @@
     /** A change that may have been dropped from the history must not be rejected, since it may have been accepted. */
     @Test
     void neitherConfirmsNorRejectsChangesThatTheHistoryDoesNotCover() {
-        ConfigurationDocument document = accepted(EMPTY, put(0, Samples.document(1)));
+        ConfigurationDocument document = applyValidChange(EMPTY, put(0, Samples.document(1)));
         for (int version = 2; version <= ConfigurationDocument.MAX_HISTORY_CHANGES + 1; version++) {
-            document = accepted(document, patch(version - 1, "{\"config_version\":" + version + "}"));
+            document = applyValidChange(document, patch(version - 1, "{\"config_version\":" + version + "}"));
         }
         document = ConfigurationDocument.decode(document.encode());
         assertEquals(new HistoryExpired(1), document.apply(put(0, Samples.document(1))));
@@ -133,7 +133,7 @@
     @Test
     void rejectsAChangeBasedOnAVersionThatNeverExisted() {
         ConfigurationDocument document =
-                accepted(accepted(EMPTY, put(0, Samples.document(5))), put(5, Samples.document(9)));
+                applyValidChange(applyValidChange(EMPTY, put(0, Samples.document(5))), put(5, Samples.document(9)));
         assertEquals(new VersionMismatch(9), document.apply(put(7, Samples.document(8))));
         assertEquals(new VersionMismatch(9), document.apply(put(0, Samples.document(7))));
     }
@@ -163,7 +163,7 @@
 
     @Test
     void rejectsInvalidChanges() {
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
+        ConfigurationDocument first = applyValidChange(EMPTY, put(0, Samples.document(5)));
         assertEquals(Reason.UNREADABLE, rejectionReason(first, put(5, "{")));
         assertEquals(Reason.UNREADABLE, rejectionReason(first, put(4, "{")));
         assertEquals(Reason.UNREADABLE, rejectionReason(first, put(4, "")));
@@ -178,15 +178,15 @@
 
     @Test
     void rejectsASecondChangeBasedOnTheSameVersion() {
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
-        ConfigurationDocument second = accepted(first, patch(5, "{\"config_version\":7}"));
+        ConfigurationDocument first = applyValidChange(EMPTY, put(0, Samples.document(5)));
+        ConfigurationDocument second = applyValidChange(first, patch(5, "{\"config_version\":7}"));
         assertEquals(new VersionMismatch(7), second.apply(patch(5, "{\"config_version\":7,\"limits\":null}")));
     }
 
     @Test
     void decodesEncodedDocuments() {
         assertEquals(0, ConfigurationDocument.decode(EMPTY.encode()).version());
-        ConfigurationDocument first = accepted(EMPTY, put(0, Samples.document(5)));
+        ConfigurationDocument first = applyValidChange(EMPTY, put(0, Samples.document(5)));
         assertArrayEquals(
                 first.encode(), ConfigurationDocument.decode(first.encode()).encode());
     }
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationPropertyTest.java
@@ -27,15 +27,15 @@
     private static final List<String> STRINGS =
             List.of("", "a", "\"", "\\", "\u0000\n", "\u00e9", "\u20ac", "\ud83d\ude00", "\u007f", "\u2028");
 
-    private static <T> T pick(Random random, List<T> values) {
+    private static <T> T pickRandom(Random random, List<T> values) {
         return values.get(random.nextInt(values.size()));
     }
 
     private static JsonValue value(Random random, int depth) {
         return switch (random.nextInt(depth > 0 ? 5 : 3)) {
-            case 0 -> new JsonNumber(pick(random, NUMERALS));
-            case 1 -> new JsonString(pick(random, STRINGS));
-            case 2 -> pick(random, List.of(JsonLiteral.values()));
+            case 0 -> new JsonNumber(pickRandom(random, NUMERALS));
+            case 1 -> new JsonString(pickRandom(random, STRINGS));
+            case 2 -> pickRandom(random, List.of(JsonLiteral.values()));
             case 3 -> new JsonArray(List.of(value(random, depth - 1), value(random, depth - 1)));
             default -> object(random, depth - 1);
         };
@@ -44,7 +44,7 @@
     private static JsonObject object(Random random, int depth) {
         JsonObject object = new JsonObject(new LinkedHashMap<>());
         for (int count = random.nextInt(4); count > 0; count--) {
-            object.members().put(pick(random, STRINGS), value(random, depth));
+            object.members().put(pickRandom(random, STRINGS), value(random, depth));
         }
         return object;
     }
@@ -146,16 +146,16 @@
     }
 
     @Property
-    void garbledTextsThrowNoUncheckedException(@ForAll long seed) throws InvalidConfigurationException {
+    void corruptedTextsThrowNoUncheckedException(@ForAll long seed) throws InvalidConfigurationException {
         Random random = new Random(seed);
         Configuration base = Samples.parse(Samples.document(1));
         byte[] body = Samples.bytes(random.nextBoolean() ? document(random, 2) : patch(random, 2));
-        byte[] garbled = garbled(random, body);
-        assertThrowsNoUncheckedException(() -> Configuration.parse(garbled));
-        assertThrowsNoUncheckedException(() -> base.patched(garbled));
+        byte[] corrupted = corrupt(random, body);
+        assertThrowsNoUncheckedException(() -> Configuration.parse(corrupted));
+        assertThrowsNoUncheckedException(() -> base.patched(corrupted));
         byte[] delta = ConfigurationDelta.between(base, Samples.parse(document(random, 2)));
-        byte[] garbledDelta = garbled(random, delta);
-        assertThrowsNoUncheckedException(() -> ConfigurationDelta.apply(base, garbledDelta));
+        byte[] corruptedDelta = corrupt(random, delta);
+        assertThrowsNoUncheckedException(() -> ConfigurationDelta.apply(base, corruptedDelta));
     }
 
     private interface Parser {
@@ -170,14 +170,14 @@
         }
     }
 
-    private static byte[] garbled(Random random, byte[] text) {
-        byte[] garbled = random.nextInt(4) == 0 ? Arrays.copyOf(text, random.nextInt(text.length)) : text.clone();
-        for (int count = random.nextInt(4); count > 0 && garbled.length > 0; count--) {
+    private static byte[] corrupt(Random random, byte[] text) {
+        byte[] corrupted = random.nextInt(4) == 0 ? Arrays.copyOf(text, random.nextInt(text.length)) : text.clone();
+        for (int count = random.nextInt(4); count > 0 && corrupted.length > 0; count--) {
             byte replacement = random.nextBoolean()
                     ? (byte) random.nextInt(256)
                     : (byte) "{}[]\",:\\0-etn".charAt(random.nextInt(13));
-            garbled[random.nextInt(garbled.length)] = replacement;
+            corrupted[random.nextInt(corrupted.length)] = replacement;
         }
-        return garbled;
+        return corrupted;
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/ConfigurationTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigurationTest {
-    private static Configuration patched(Configuration base, String patch) throws InvalidConfigurationException {
+    private static Configuration applyPatch(Configuration base, String patch) throws InvalidConfigurationException {
         return base.patched(Samples.bytes(patch));
     }
 
-    private static Reason rejection(Configuration base, String patch) {
-        return assertThrows(InvalidConfigurationException.class, () -> patched(base, patch))
+    private static Reason rejectionReason(Configuration base, String patch) {
+        return assertThrows(InvalidConfigurationException.class, () -> applyPatch(base, patch))
                 .reason();
     }
 
@@ -121,7 +121,7 @@
     @Test
     void patchReplacesItemsInPlaceAppendsNewOnesAndRemovesOthers() throws InvalidConfigurationException {
         Configuration base = Samples.parse(Samples.document(7));
-        Configuration next = patched(
+        Configuration next = applyPatch(
                 base,
                 "{\"config_version\":9,\"upsert\":{\"routes\":["
                         + Samples.route("r-3", "/new/", "wuno") + "," + Samples.route("r-1", "/lohu/", "wuno")
@@ -139,7 +139,7 @@
 
     @Test
     void patchMayMoveAPrefixFromOneRouteToAnother() throws InvalidConfigurationException {
-        Configuration next = patched(
+        Configuration next = applyPatch(
                 Samples.parse(Samples.document(7)),
                 "{\"config_version\":9,\"upsert\":{\"routes\":[" + Samples.route("r-3", "/pufi/", "wuno")
                         + "]},\"remove\":{\"routes\":[\"r-2\"]}}");
@@ -150,7 +150,7 @@
     void patchChangesUnknownListsAndOtherFields() throws InvalidConfigurationException {
         Configuration base = Samples.parse(Samples.document(7)
                 .replace("\"limits\"", "\"keys\":[{\"name\":\"a\",\"v\":1},{\"name\":\"b\"}],\"mode\":1,\"limits\""));
-        Configuration next = patched(
+        Configuration next = applyPatch(
                 base,
                 "{\"config_version\":8,\"upsert\":{\"keys\":[{\"name\":\"a\",\"v\":2.50},"
                         + "{\"name\":\"c\"}],\"tenants\":[{\"name\":\"t\"}]},"
@@ -172,28 +172,32 @@
     void rejectsInvalidPatches() throws InvalidConfigurationException {
         Configuration base = Samples.parse(Samples.document(7).replace("\"limits\"", "\"mode\":1,\"limits\""));
         assertEquals(
-                Reason.UNKNOWN_SERVICE, rejection(base, "{\"config_version\":8,\"remove\":{\"services\":[\"wuno\"]}}"));
+                Reason.UNKNOWN_SERVICE,
+                rejectionReason(base, "{\"config_version\":8,\"remove\":{\"services\":[\"wuno\"]}}"));
         assertEquals(
                 Reason.SHARED_PREFIX,
-                rejection(
+                rejectionReason(
                         base,
                         "{\"config_version\":8,\"upsert\":{\"routes\":[" + Samples.route("r-9", "/pufi/", "huvo")
                                 + "]}}"));
         assertEquals(
                 Reason.DUPLICATE_NAME,
-                rejection(
+                rejectionReason(
                         base,
                         "{\"config_version\":8,\"upsert\":{\"routes\":[" + Samples.route("r-9", "/a/", "huvo") + ","
                                 + Samples.route("r-9", "/b/", "huvo") + "]}}"));
-        assertEquals(Reason.MISSING_NAME, rejection(base, "{\"config_version\":8,\"upsert\":{\"keys\":[{\"x\":1}]}}"));
-        assertEquals(Reason.VERSION_NOT_ABOVE, rejection(base, "{\"config_version\":7}"));
-        assertEquals(Reason.MISSING_VERSION, rejection(base, "{\"remove\":{\"routes\":[\"r-1\"]}}"));
-        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"remove\":[\"r-1\"]}"));
-        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"remove\":{\"routes\":[1]}}"));
-        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"remove\":{\"routes\":\"r-1\"}}"));
-        assertEquals(Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"upsert\":{\"routes\":{}}}"));
         assertEquals(
-                Reason.WRONG_TYPE, rejection(base, "{\"config_version\":8,\"upsert\":{\"mode\":[{\"name\":\"x\"}]}}"));
-        assertEquals(Reason.UNREADABLE, rejection(base, "{\"config_version\":8,"));
+                Reason.MISSING_NAME, rejectionReason(base, "{\"config_version\":8,\"upsert\":{\"keys\":[{\"x\":1}]}}"));
+        assertEquals(Reason.VERSION_NOT_ABOVE, rejectionReason(base, "{\"config_version\":7}"));
+        assertEquals(Reason.MISSING_VERSION, rejectionReason(base, "{\"remove\":{\"routes\":[\"r-1\"]}}"));
+        assertEquals(Reason.WRONG_TYPE, rejectionReason(base, "{\"config_version\":8,\"remove\":[\"r-1\"]}"));
+        assertEquals(Reason.WRONG_TYPE, rejectionReason(base, "{\"config_version\":8,\"remove\":{\"routes\":[1]}}"));
+        assertEquals(
+                Reason.WRONG_TYPE, rejectionReason(base, "{\"config_version\":8,\"remove\":{\"routes\":\"r-1\"}}"));
+        assertEquals(Reason.WRONG_TYPE, rejectionReason(base, "{\"config_version\":8,\"upsert\":{\"routes\":{}}}"));
+        assertEquals(
+                Reason.WRONG_TYPE,
+                rejectionReason(base, "{\"config_version\":8,\"upsert\":{\"mode\":[{\"name\":\"x\"}]}}"));
+        assertEquals(Reason.UNREADABLE, rejectionReason(base, "{\"config_version\":8,"));
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
+++ b/configuration/src/test/java/dewplank/configuration/GoldenConfigurationTest.java
@@ -22,10 +22,11 @@
     private static final int MAX_PLAIN_BYTES = 1 << 20;
 
     /** The first change: the complete configuration of version 5. */
-    private static final ChangeRequest FIRST = new ChangeRequest(false, 0, resource("request-5.json"));
+    private static final ChangeRequest FIRST_CHANGE = new ChangeRequest(false, 0, resource("request-5.json"));
 
     /** The second change: a patch from version 5 to version 9. */
-    private static final ChangeRequest SECOND = new ChangeRequest(true, 5, Samples.bytes("{\"config_version\":9}"));
+    private static final ChangeRequest SECOND_CHANGE =
+            new ChangeRequest(true, 5, Samples.bytes("{\"config_version\":9}"));
 
     private static byte[] resource(String name) {
         try (InputStream in = GoldenConfigurationTest.class.getResourceAsStream("/golden/" + name)) {
@@ -43,7 +44,7 @@
         return ConfigurationDocument.decode(resource(name));
     }
 
-    private static byte[] inflated(byte[] payload) throws IOException {
+    private static byte[] inflate(byte[] payload) throws IOException {
         return DeflateCodec.inflate(Arrays.copyOfRange(payload, 1, payload.length), MAX_PLAIN_BYTES);
     }
 
@@ -55,8 +56,8 @@
         ConfigurationDocument document = document("plain-format-1.payload");
         assertEquals(5, document.version());
         assertHasTwoRoutes(document.configuration());
-        assertEquals(new AlreadyAccepted(5), document.apply(FIRST));
-        assertEquals(new VersionMismatch(5), document.apply(new ChangeRequest(false, 0, SECOND.body())));
+        assertEquals(new AlreadyAccepted(5), document.apply(FIRST_CHANGE));
+        assertEquals(new VersionMismatch(5), document.apply(new ChangeRequest(false, 0, SECOND_CHANGE.body())));
     }
 
     /** Format 2: half a digest per change, not compressed. */
@@ -68,11 +69,11 @@
                 text(resource("configuration-9.json")),
                 text(document.configuration().json()));
         assertHasTwoRoutes(document.configuration());
-        assertEquals(new AlreadyAccepted(5), document.apply(FIRST));
-        assertEquals(new AlreadyAccepted(9), document.apply(SECOND));
+        assertEquals(new AlreadyAccepted(5), document.apply(FIRST_CHANGE));
+        assertEquals(new AlreadyAccepted(9), document.apply(SECOND_CHANGE));
         byte[] payload = document.encode();
         assertEquals(64, payload[0]);
-        assertArrayEquals(resource("plain-format-2.payload"), inflated(payload));
+        assertArrayEquals(resource("plain-format-2.payload"), inflate(payload));
     }
 
     /** The bytes after the first one are deflated; their exact values depend on the compression library. */
@@ -88,13 +89,13 @@
         for (int index = 1; index < 40; index++) {
             assertIsSplitRoute(index, configuration.routes().get(index));
         }
-        assertEquals(new AlreadyAccepted(5), document.apply(FIRST));
-        assertEquals(new AlreadyAccepted(9), document.apply(SECOND));
+        assertEquals(new AlreadyAccepted(5), document.apply(FIRST_CHANGE));
+        assertEquals(new AlreadyAccepted(9), document.apply(SECOND_CHANGE));
         String third = text(configuration.json()).replace("\u00e9", "\\u00e9"); // as the operator wrote it
         assertEquals(new AlreadyAccepted(12), document.apply(new ChangeRequest(false, 9, Samples.bytes(third))));
         byte[] payload = document.encode();
         assertEquals("407801", HexFormat.of().formatHex(payload, 0, 3));
-        assertArrayEquals(inflated(stored), inflated(payload));
+        assertArrayEquals(inflate(stored), inflate(payload));
     }
 
     @Test
@@ -102,19 +103,19 @@
         ConfigurationDocument empty = ConfigurationDocument.decode(null);
         assertEquals(0, empty.version());
         assertNull(empty.configuration());
-        ConfigurationDocument first = ((ChangeResult.Accepted) empty.apply(FIRST)).next();
-        ConfigurationDocument second = ((ChangeResult.Accepted) first.apply(SECOND)).next();
-        assertArrayEquals(resource("plain-format-2.payload"), inflated(second.encode()));
+        ConfigurationDocument first = ((ChangeResult.Accepted) empty.apply(FIRST_CHANGE)).next();
+        ConfigurationDocument second = ((ChangeResult.Accepted) first.apply(SECOND_CHANGE)).next();
+        assertArrayEquals(resource("plain-format-2.payload"), inflate(second.encode()));
     }
 
     @Test
     void changesHaveTheSameDigests() {
         assertEquals(
                 "a38815e71438a3e1368a2bcd36d36d711293923e4c8c9e913691f5c3910cfa4b",
-                HexFormat.of().formatHex(FIRST.digest()));
+                HexFormat.of().formatHex(FIRST_CHANGE.digest()));
         assertEquals(
                 "1f03e2f4cb2d08c39f9c0f5055bc2399aae225515cbb03b660e50536ed16c023",
-                HexFormat.of().formatHex(SECOND.digest()));
+                HexFormat.of().formatHex(SECOND_CHANGE.digest()));
     }
 
     private static void assertHasTwoRoutes(Configuration configuration) {
--- a/configuration/src/test/java/dewplank/configuration/RejectedChangesTest.java
+++ b/configuration/src/test/java/dewplank/configuration/RejectedChangesTest.java
@@ -16,7 +16,7 @@
  * and as a patch: each is rejected as a whole, and the current configuration is unchanged.
  */
 class RejectedChangesTest {
-    private static final long CURRENT = 5;
+    private static final long CURRENT_VERSION = 5;
 
     /** A kind of invalid change, as a complete configuration and as a patch to the current one. */
     private record Change(String name, Reason reason, String document, String patch) {
@@ -26,8 +26,8 @@
         }
     }
 
-    private static ConfigurationDocument current() {
-        ChangeRequest first = new ChangeRequest(false, 0, Samples.bytes(Samples.document(CURRENT)));
+    private static ConfigurationDocument currentDocument() {
+        ChangeRequest first = new ChangeRequest(false, 0, Samples.bytes(Samples.document(CURRENT_VERSION)));
         return assertInstanceOf(
                         ChangeResult.Accepted.class,
                         ConfigurationDocument.decode(null).apply(first))
@@ -43,11 +43,11 @@
         return "{\"config_version\":7,\"upsert\":{\"" + list + "\":[" + item + "]}}";
     }
 
-    private static Change ofRoute(String name, Reason reason, String route) {
+    private static Change routeChange(String name, Reason reason, String route) {
         return new Change(name, reason, document(route), upsert("routes", route));
     }
 
-    private static Change ofTenants(String name, Reason reason, String tenants) {
+    private static Change tenantChange(String name, Reason reason, String tenants) {
         String document = Samples.document(7).replace(":7,", ":7,\"tenants\":[" + tenants + "],");
         return new Change(name, reason, document, upsert("tenants", tenants));
     }
@@ -63,30 +63,30 @@
     }
 
     static Stream<Change> invalidChanges() {
-        String same = Samples.document(CURRENT);
+        String same = Samples.document(CURRENT_VERSION);
         String shared = "{\"name\":\"k-1\",\"key\":\"same\"},{\"name\":\"k-1\",\"key\":\"same\"}";
         return Stream.of(
-                ofRoute("unknown_service", Reason.UNKNOWN_SERVICE, route("\"wuno\"", "\"unknown\"")),
-                ofRoute(
+                routeChange("unknown_service", Reason.UNKNOWN_SERVICE, route("\"wuno\"", "\"unknown\"")),
+                routeChange(
                         "unknown_service of a split",
                         Reason.UNKNOWN_SERVICE,
                         route(
                                 "\"service\":\"wuno\"",
                                 "\"weighted_split\":[{\"service\":\"huvo\",\"weight\":9},"
                                         + "{\"service\":\"unknown\",\"weight\":0}]")),
-                ofRoute("same_place", Reason.SHARED_PREFIX, route("/more/", "/pufi/")),
-                ofRoute(
+                routeChange("same_place", Reason.SHARED_PREFIX, route("/more/", "/pufi/")),
+                routeChange(
                         "same_place in upper case",
                         Reason.SHARED_PREFIX,
                         route("/more/", "/pufi/").replace("ficu.example", "FICU.example")),
-                ofRoute(
+                routeChange(
                         "no_weight",
                         Reason.BAD_WEIGHTS,
                         route(
                                 "\"service\":\"wuno\"",
                                 "\"weighted_split\":[{\"service\":\"huvo\",\"weight\":0},"
                                         + "{\"service\":\"wuno\",\"weight\":0}]")),
-                ofRoute("no_timeout", Reason.BAD_TIMEOUT, route("\"timeout_ms\":2500", "\"timeout_ms\":0")),
+                routeChange("no_timeout", Reason.BAD_TIMEOUT, route("\"timeout_ms\":2500", "\"timeout_ms\":0")),
                 new Change(
                         "a service that is still in use",
                         Reason.UNKNOWN_SERVICE,
@@ -97,20 +97,20 @@
                 new Change(
                         "same_version, other content",
                         Reason.VERSION_NOT_ABOVE,
-                        Samples.document(CURRENT, "", ""),
+                        Samples.document(CURRENT_VERSION, "", ""),
                         "{\"config_version\":5,\"remove\":{\"routes\":[\"r-1\"]}}"),
-                ofTenants(
+                tenantChange(
                         "shared_key",
                         Reason.SHARED_KEY,
                         tenant("a", "\"k-1\",\"k-2\"") + "," + tenant("b", "\"k-3\",\"k-1\"")),
-                ofTenants(
+                tenantChange(
                         "shared_key with a JSON escape",
                         Reason.SHARED_KEY,
                         tenant("a", "\"k-1\"") + "," + tenant("b", "\"\\u006b-1\"")),
-                ofTenants("an empty key", Reason.EMPTY_KEY, tenant("a", "\"k-1\",\"\"")),
-                ofTenants("a tenant name with a line break", Reason.BAD_TENANT_NAME, tenant("a\\r\\nb", "\"k-1\"")),
-                ofTenants("a non-ASCII tenant name", Reason.BAD_TENANT_NAME, tenant("\u00e5", "\"k-1\"")),
-                ofTenants("a tenant name with surrounding spaces", Reason.BAD_TENANT_NAME, tenant(" a ", "\"k-1\"")),
+                tenantChange("an empty key", Reason.EMPTY_KEY, tenant("a", "\"k-1\",\"\"")),
+                tenantChange("a tenant name with a line break", Reason.BAD_TENANT_NAME, tenant("a\\r\\nb", "\"k-1\"")),
+                tenantChange("a non-ASCII tenant name", Reason.BAD_TENANT_NAME, tenant("\u00e5", "\"k-1\"")),
+                tenantChange("a tenant name with surrounding spaces", Reason.BAD_TENANT_NAME, tenant(" a ", "\"k-1\"")),
                 new Change(
                         "shared_key: duplicate name",
                         Reason.DUPLICATE_NAME,
@@ -124,12 +124,13 @@
     }
 
     private static void assertRejected(Reason reason, boolean patch, String body) {
-        ConfigurationDocument document = current();
-        ChangeRequest request = new ChangeRequest(patch, CURRENT, Samples.bytes(body));
+        ConfigurationDocument document = currentDocument();
+        ChangeRequest request = new ChangeRequest(patch, CURRENT_VERSION, Samples.bytes(body));
         ChangeResult.Invalid rejected = assertInstanceOf(ChangeResult.Invalid.class, document.apply(request));
         assertEquals(reason, rejected.error().reason(), rejected.error().getMessage());
         assertEquals(
-                Samples.document(CURRENT), Samples.text(document.configuration().json()));
+                Samples.document(CURRENT_VERSION),
+                Samples.text(document.configuration().json()));
     }
 
     @ParameterizedTest
@@ -163,17 +164,18 @@
     @Test
     void rejectsAKeyOfAnotherTenantUnlessTheSameChangeRemovesItThere() {
         String tenants = tenant("a", "\"k-1\",\"k-2\"") + "," + tenant("b", "\"k-3\"");
-        ConfigurationDocument withTenants = accepted(current(), CURRENT, upsert("tenants", tenants));
+        ConfigurationDocument withTenants =
+                applyValidPatch(currentDocument(), CURRENT_VERSION, upsert("tenants", tenants));
         String shared = upsert("tenants", tenant("b", "\"k-3\",\"k-1\"")).replace(":7,", ":8,");
         ChangeResult.Invalid rejected = assertInstanceOf(
                 ChangeResult.Invalid.class, withTenants.apply(new ChangeRequest(true, 7, Samples.bytes(shared))));
         assertEquals(Reason.SHARED_KEY, rejected.error().reason());
         assertEquals("tenants[b].access_keys", rejected.error().key());
         String moved = upsert("tenants", tenant("a", "\"k-2\"") + "," + tenant("b", "\"k-3\",\"k-1\""));
-        accepted(withTenants, 7, moved.replace(":7,", ":8,"));
+        applyValidPatch(withTenants, 7, moved.replace(":7,", ":8,"));
     }
 
-    private static ConfigurationDocument accepted(ConfigurationDocument document, long base, String patch) {
+    private static ConfigurationDocument applyValidPatch(ConfigurationDocument document, long base, String patch) {
         ChangeRequest request = new ChangeRequest(true, base, Samples.bytes(patch));
         return assertInstanceOf(ChangeResult.Accepted.class, document.apply(request))
                 .next();
@@ -184,11 +186,12 @@
     void rejectsChangesBasedOnAnotherVersion() {
         for (long expected : new long[] {0, 4, 6, 7}) {
             assertEquals(
-                    new ChangeResult.VersionMismatch(CURRENT),
-                    current().apply(new ChangeRequest(false, expected, Samples.bytes(Samples.document(7)))));
+                    new ChangeResult.VersionMismatch(CURRENT_VERSION),
+                    currentDocument().apply(new ChangeRequest(false, expected, Samples.bytes(Samples.document(7)))));
             assertEquals(
-                    new ChangeResult.VersionMismatch(CURRENT),
-                    current().apply(new ChangeRequest(true, expected, Samples.bytes("{\"config_version\":7}"))));
+                    new ChangeResult.VersionMismatch(CURRENT_VERSION),
+                    currentDocument()
+                            .apply(new ChangeRequest(true, expected, Samples.bytes("{\"config_version\":7}"))));
         }
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/RouteTableTest.java
+++ b/configuration/src/test/java/dewplank/configuration/RouteTableTest.java
@@ -14,7 +14,7 @@
         return new RouteTable(Samples.parse(Samples.document(1, routes.toString(), Samples.MODEL_SERVICE)));
     }
 
-    private static String found(RouteTable table, String host, String target) {
+    private static String findPrefix(RouteTable table, String host, String target) {
         Route route = table.find(host, target);
         return route == null ? null : route.pathPrefix();
     }
@@ -22,36 +22,36 @@
     @Test
     void findsTheLongestPrefix() throws InvalidConfigurationException {
         RouteTable table = table("/a/", "/a/b/c/", "/x//y/");
-        assertEquals("/a/", found(table, "ficu.example", "/a/"));
-        assertEquals("/a/", found(table, "ficu.example", "/a/b/"));
-        assertEquals("/a/", found(table, "ficu.example", "/a/b/c"));
-        assertEquals("/a/b/c/", found(table, "ficu.example", "/a/b/c/d/e?f=/g/"));
-        assertEquals("/x//y/", found(table, "ficu.example", "/x//y/z"));
-        assertNull(found(table, "ficu.example", "/a"));
-        assertNull(found(table, "ficu.example", "/a?/"));
-        assertNull(found(table, "ficu.example", "/"));
-        assertNull(found(table, "ficu.example", "/A/"));
-        assertNull(found(table, "ficu.example", "*"));
-        assertNull(found(table, "ficu.example", ""));
-        assertNull(found(table, "ficu.example", null));
+        assertEquals("/a/", findPrefix(table, "ficu.example", "/a/"));
+        assertEquals("/a/", findPrefix(table, "ficu.example", "/a/b/"));
+        assertEquals("/a/", findPrefix(table, "ficu.example", "/a/b/c"));
+        assertEquals("/a/b/c/", findPrefix(table, "ficu.example", "/a/b/c/d/e?f=/g/"));
+        assertEquals("/x//y/", findPrefix(table, "ficu.example", "/x//y/z"));
+        assertNull(findPrefix(table, "ficu.example", "/a"));
+        assertNull(findPrefix(table, "ficu.example", "/a?/"));
+        assertNull(findPrefix(table, "ficu.example", "/"));
+        assertNull(findPrefix(table, "ficu.example", "/A/"));
+        assertNull(findPrefix(table, "ficu.example", "*"));
+        assertNull(findPrefix(table, "ficu.example", ""));
+        assertNull(findPrefix(table, "ficu.example", null));
     }
 
     @Test
     void findsTheRootPrefix() throws InvalidConfigurationException {
         RouteTable table = table("/", "/a/b/");
-        assertEquals("/", found(table, "ficu.example", "/"));
-        assertEquals("/", found(table, "ficu.example", "/a/c"));
-        assertEquals("/a/b/", found(table, "ficu.example", "/a/b/"));
+        assertEquals("/", findPrefix(table, "ficu.example", "/"));
+        assertEquals("/", findPrefix(table, "ficu.example", "/a/c"));
+        assertEquals("/a/b/", findPrefix(table, "ficu.example", "/a/b/"));
     }
 
     @Test
     void ignoresTheCaseAndPortOfHosts() throws InvalidConfigurationException {
         RouteTable table = table("/");
-        assertEquals("/", found(table, "FICU.Example", "/"));
-        assertEquals("/", found(table, "ficu.example:8144", "/"));
-        assertEquals("/", found(table, " ficu.example ", "/"));
-        assertNull(found(table, "ficu.example.org", "/"));
-        assertNull(found(table, "[::1]:80", "/"));
-        assertNull(found(table, null, "/"));
+        assertEquals("/", findPrefix(table, "FICU.Example", "/"));
+        assertEquals("/", findPrefix(table, "ficu.example:8144", "/"));
+        assertEquals("/", findPrefix(table, " ficu.example ", "/"));
+        assertNull(findPrefix(table, "ficu.example.org", "/"));
+        assertNull(findPrefix(table, "[::1]:80", "/"));
+        assertNull(findPrefix(table, null, "/"));
     }
 }
--- a/configuration/src/test/java/dewplank/configuration/TenantTest.java
+++ b/configuration/src/test/java/dewplank/configuration/TenantTest.java
@@ -21,7 +21,7 @@
     private static final String OTHER_KEY = "secret-2";
 
     /** Values of the field for tenants, before or after a change; an empty text means that the field is absent. */
-    private static final List<String> LISTS = List.of(
+    private static final List<String> TENANT_LISTS = List.of(
             "",
             "[]",
             "[" + tenant("acme") + "]",
@@ -49,7 +49,7 @@
         return assertThrows(InvalidConfigurationException.class, () -> withTenants(tenants));
     }
 
-    private static Configuration patched(Configuration base, String changes) throws InvalidConfigurationException {
+    private static Configuration applyPatch(Configuration base, String changes) throws InvalidConfigurationException {
         return base.patched(Samples.bytes("{\"config_version\":8," + changes + "}"));
     }
 
@@ -193,13 +193,14 @@
     @Test
     void aPatchAddsAndRemovesKeys() throws InvalidConfigurationException {
         Configuration base = withTenants("[" + tenant("acme", KEY) + "," + tenant("other", "x") + "]");
-        Configuration both = patched(base, "\"upsert\":{\"tenants\":[" + tenant("acme", KEY, OTHER_KEY) + "]}");
-        assertEquals(Optional.of("acme"), tenantName(both, KEY));
-        assertEquals(Optional.of("acme"), tenantName(both, OTHER_KEY));
-        Configuration one = patched(base, "\"upsert\":{\"tenants\":[" + tenant("acme", OTHER_KEY) + "]}");
-        assertEquals(Optional.empty(), tenantName(one, KEY));
-        assertEquals(Optional.of("acme"), tenantName(one, OTHER_KEY));
-        assertEquals(Optional.of("other"), tenantName(one, "x"));
+        Configuration withBothKeys =
+                applyPatch(base, "\"upsert\":{\"tenants\":[" + tenant("acme", KEY, OTHER_KEY) + "]}");
+        assertEquals(Optional.of("acme"), tenantName(withBothKeys, KEY));
+        assertEquals(Optional.of("acme"), tenantName(withBothKeys, OTHER_KEY));
+        Configuration withOneKey = applyPatch(base, "\"upsert\":{\"tenants\":[" + tenant("acme", OTHER_KEY) + "]}");
+        assertEquals(Optional.empty(), tenantName(withOneKey, KEY));
+        assertEquals(Optional.of("acme"), tenantName(withOneKey, OTHER_KEY));
+        assertEquals(Optional.of("other"), tenantName(withOneKey, "x"));
         assertEquals(Optional.of("acme"), tenantName(base, KEY), "the base is unchanged");
     }
 
@@ -207,9 +208,9 @@
     void aPatchMayMoveAKeyToAnotherTenant() throws InvalidConfigurationException {
         Configuration base = withTenants("[" + tenant("acme", KEY) + "]");
         Configuration next =
-                patched(base, "\"upsert\":{\"tenants\":[" + tenant("new-owner", KEY) + "," + tenant("acme") + "]}");
+                applyPatch(base, "\"upsert\":{\"tenants\":[" + tenant("new-owner", KEY) + "," + tenant("acme") + "]}");
         assertEquals(Optional.of("new-owner"), tenantName(next, KEY));
-        Configuration removed = patched(
+        Configuration removed = applyPatch(
                 base,
                 "\"upsert\":{\"tenants\":[" + tenant("new-owner", KEY) + "]},\"remove\":{\"tenants\":[\"acme\"]}");
         assertEquals(Optional.of("new-owner"), tenantName(removed, KEY));
@@ -220,14 +221,14 @@
         Configuration base = withTenants("[" + tenant("acme", KEY) + "]");
         InvalidConfigurationException error = assertThrows(
                 InvalidConfigurationException.class,
-                () -> patched(base, "\"upsert\":{\"tenants\":[" + tenant("new-owner", KEY) + "]}"));
+                () -> applyPatch(base, "\"upsert\":{\"tenants\":[" + tenant("new-owner", KEY) + "]}"));
         assertEquals(Reason.SHARED_KEY, error.reason());
     }
 
     @Test
     void keysAreStillRequiredAfterTheLastTenantIsRemoved() throws InvalidConfigurationException {
         Configuration base = withTenants("[" + tenant("acme", KEY) + "]");
-        Configuration next = patched(base, "\"remove\":{\"tenants\":[\"acme\",\"absent\"]}");
+        Configuration next = applyPatch(base, "\"remove\":{\"tenants\":[\"acme\",\"absent\"]}");
         assertEquals(List.of(), next.tenants());
         assertEquals(Optional.empty(), tenantName(next, KEY));
         assertTrue(next.requiresAccessKeys());
@@ -235,7 +236,7 @@
 
     @Test
     void aPatchMayAddTheFirstTenant() throws InvalidConfigurationException {
-        Configuration next = patched(withTenants(""), "\"upsert\":{\"tenants\":[" + tenant("acme", KEY) + "]}");
+        Configuration next = applyPatch(withTenants(""), "\"upsert\":{\"tenants\":[" + tenant("acme", KEY) + "]}");
         assertTrue(next.requiresAccessKeys());
         assertEquals(Optional.of("acme"), tenantName(next, KEY));
     }
@@ -243,15 +244,15 @@
     @Test
     void aPatchOfOtherListsDoesNotChangeTheTenants() throws InvalidConfigurationException {
         Configuration base = withTenants("[" + tenant("acme", KEY) + "]");
-        Configuration next = patched(base, "\"remove\":{\"routes\":[\"r-2\"]}");
+        Configuration next = applyPatch(base, "\"remove\":{\"routes\":[\"r-2\"]}");
         assertEquals(base.tenants(), next.tenants());
         assertEquals(Optional.of("acme"), tenantName(next, KEY));
     }
 
     @Test
     void applyingADeltaYieldsTheTenantsOfTheLaterConfiguration() throws InvalidConfigurationException {
-        for (String before : LISTS) {
-            for (String after : LISTS) {
+        for (String before : TENANT_LISTS) {
+            for (String after : TENANT_LISTS) {
                 Configuration from = Samples.parse(document(7, before));
                 Configuration to = Samples.parse(document(9, after));
                 assertSameTenants(to, ConfigurationDelta.apply(from, ConfigurationDelta.between(from, to)));
@@ -261,7 +262,7 @@
 
     @Test
     void aWrittenConfigurationIsReadBackWithTheSameTenants() throws InvalidConfigurationException {
-        for (String tenants : LISTS) {
+        for (String tenants : TENANT_LISTS) {
             Configuration configuration = withTenants(tenants);
             assertSameTenants(configuration, Configuration.parse(configuration.json()));
         }
--- a/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
+++ b/configuration/src/test/java/dewplank/configuration/VersionOrderTest.java
@@ -90,7 +90,7 @@
         }
 
         /** Proposes the next version or the one after it, with unique content. */
-        void change() {
+        void proposeChange() {
             long version = learnedVersion + random.nextInt(1, 3);
             ChangeRequest change = new ChangeRequest(
                     false,
@@ -122,20 +122,20 @@
         network.clear();
         contentByVersion.clear();
         rejectedVersions.clear();
-        List<AcceptorId> all = new ArrayList<>();
+        List<AcceptorId> acceptorIds = new ArrayList<>();
         for (int index = 0; index < 4; index++) {
-            all.add(new AcceptorId("n" + index, "i" + index));
+            acceptorIds.add(new AcceptorId("n" + index, "i" + index));
         }
         for (int index = 0; index < 4; index++) {
-            nodes.add(new Node(index, all.subList(0, 3)));
+            nodes.add(new Node(index, acceptorIds.subList(0, 3)));
         }
         for (int step = 0; step < STEPS; step++) {
             now += STEP_MS;
             Node node = nodes.get(random.nextInt(3));
             if (step % 12 == 0) {
-                node.change();
+                node.proposeChange();
             } else if (step % 300 == 150) {
-                node.changeAcceptors(step % 600 == 150 ? all.subList(1, 4) : all.subList(0, 3));
+                node.changeAcceptors(step % 600 == 150 ? acceptorIds.subList(1, 4) : acceptorIds.subList(0, 3));
             }
             for (Node each : nodes) {
                 each.register.tick(now, each);
--- a/messages/src/main/java/dewplank/message/FleetUpdate.java
+++ b/messages/src/main/java/dewplank/message/FleetUpdate.java
@@ -3,7 +3,7 @@
 import dewplank.membership.Member;
 import java.util.List;
 
-/** Sends a data plane newer state than it has; a part that has not changed is null. */
+/** An update that sends a data plane newer state than it has. The field of a part that has not changed is null. */
 public final class FleetUpdate {
     /**
      * The configuration, compressed by {@link dewplank.configuration.DeflateCodec}: either complete, or a delta against
--- a/messages/src/main/java/dewplank/message/HeartbeatAck.java
+++ b/messages/src/main/java/dewplank/message/HeartbeatAck.java
@@ -35,7 +35,8 @@
         this(sequence, quorate, controlAddresses, null, null);
     }
 
-    /** Creates a reply to a data plane.
+    /**
+     * Creates a reply to a data plane.
      *
      * @param confirmed null if no quorum has confirmed a configuration
      */
@@ -44,7 +45,8 @@
         this(sequence, quorate, controlAddresses, confirmed, null);
     }
 
-    /** Creates a reply to a control plane.
+    /**
+     * Creates a reply to a control plane.
      *
      * @param quotaShare null unless the sender assigns shares
      */
--- a/messages/src/main/java/dewplank/message/MessageCodec.java
+++ b/messages/src/main/java/dewplank/message/MessageCodec.java
@@ -21,7 +21,9 @@
     /** Maximum length of a body. It must be sufficient for a configuration; operators may submit up to 4 MiB. */
     public static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
+    /** The length of the body, followed by the number of the message type. */
     private static final int HEADER_BYTES = Integer.BYTES + 1;
+
     private static final int BUFFER_BYTES = 1024;
 
     private final List<Schema<Object>> schemas = new ArrayList<>();
--- a/messages/src/main/java/dewplank/message/QuotaRequest.java
+++ b/messages/src/main/java/dewplank/message/QuotaRequest.java
@@ -12,8 +12,8 @@
     /** The requested number of tokens, above 0. */
     public final int tokens;
     /**
-     * Whether another control plane forwarded the request. That one sends it to further control planes itself, so the
-     * receiver does not forward it again.
+     * Whether another control plane forwarded the request. That control plane itself sends the request to further ones
+     * if necessary, so the receiver does not forward it again.
      */
     public final boolean forwarded;
 
--- a/messages/src/test/java/dewplank/message/FramedConnectionTest.java
+++ b/messages/src/test/java/dewplank/message/FramedConnectionTest.java
@@ -161,7 +161,7 @@
         FramedConnection refused = open(closedPort, 30);
         assertEquals(refused, RecordingHandler.next(local.closed));
         OnLoop.waitMs(loop, 30);
-        assertTrue(local.closed.isEmpty(), "the handler must not be notified again at the time-out");
+        assertTrue(local.closed.isEmpty(), "the handler must not be notified again after the timeout");
         assertTrue(local.opened.isEmpty());
     }
 
--- a/messages/src/test/java/dewplank/message/GoldenFramesTest.java
+++ b/messages/src/test/java/dewplank/message/GoldenFramesTest.java
@@ -94,7 +94,7 @@
         }
     }
 
-    private <T> T decoded(String label, Class<T> type) throws CorruptFrameException {
+    private <T> T decode(String label, Class<T> type) throws CorruptFrameException {
         ByteBuffer bytes = ByteBuffer.wrap(frames.get(label));
         Object message = codec.newDecoder().decode(bytes);
         assertFalse(bytes.hasRemaining(), label);
@@ -117,7 +117,7 @@
     @Test
     void eachFrameIsDecodedToTheSameMessage() throws Exception {
         for (Map.Entry<String, Object> message : GoldenMessages.byLabel().entrySet()) {
-            Object actual = decoded(message.getKey(), message.getValue().getClass());
+            Object actual = decode(message.getKey(), message.getValue().getClass());
             assertNull(Messages.difference(message.getValue(), actual), message.getKey());
         }
     }
@@ -136,11 +136,11 @@
 
     @Test
     void decodesHellosOfControlPlanes() throws Exception {
-        ControlHello durable = decoded("control-hello durable", ControlHello.class);
+        ControlHello durable = decode("control-hello durable", ControlHello.class);
         assertIsControlPlane(durable.member);
         assertEquals("founder@10.0.0.1:7600", durable.identity);
         assertTrue(durable.durable);
-        ControlHello relay = decoded("control-hello relay", ControlHello.class);
+        ControlHello relay = decode("control-hello relay", ControlHello.class);
         assertIsControlPlane(relay.member);
         assertEquals("b91xy", relay.identity);
         assertFalse(relay.durable);
@@ -164,24 +164,24 @@
 
     @Test
     void decodesSessionMessagesOfDataPlanes() throws Exception {
-        assertIsDataPlane(decoded("session-open", SessionOpen.class).member);
-        SessionHeartbeat heartbeat = decoded("session-heartbeat", SessionHeartbeat.class);
+        assertIsDataPlane(decode("session-open", SessionOpen.class).member);
+        SessionHeartbeat heartbeat = decode("session-heartbeat", SessionHeartbeat.class);
         assertEquals(17, heartbeat.sequence);
         assertEquals(200, heartbeat.configurationVersion);
         assertEquals(9, heartbeat.listVersion.fencingToken);
         assertEquals(130, heartbeat.listVersion.revision);
         assertEquals(-2, heartbeat.membersDigest);
-        SessionHeartbeat initial = decoded("session-heartbeat empty-handed", SessionHeartbeat.class);
+        SessionHeartbeat initial = decode("session-heartbeat empty-handed", SessionHeartbeat.class);
         assertEquals(1, initial.sequence);
         assertEquals(0, initial.configurationVersion);
         assertEquals(0, initial.listVersion.fencingToken);
         assertEquals(0, initial.listVersion.revision);
         assertEquals(0, initial.membersDigest);
-        HeartbeatAck quorate = decoded("heartbeat-ack quorate", HeartbeatAck.class);
+        HeartbeatAck quorate = decode("heartbeat-ack quorate", HeartbeatAck.class);
         assertEquals(17, quorate.sequence);
         assertTrue(quorate.quorate);
         assertEquals(List.of("10.0.0.1:7600", "10.0.0.2:7600"), quorate.controlAddresses);
-        HeartbeatAck withoutQuorum = decoded("heartbeat-ack alone", HeartbeatAck.class);
+        HeartbeatAck withoutQuorum = decode("heartbeat-ack alone", HeartbeatAck.class);
         assertEquals(18, withoutQuorum.sequence);
         assertFalse(withoutQuorum.quorate);
         assertEquals(List.of(), withoutQuorum.controlAddresses);
@@ -200,7 +200,7 @@
 
     @Test
     void decodesUpdatesOfDataPlanes() throws Exception {
-        FleetUpdate complete = decoded("update whole", FleetUpdate.class);
+        FleetUpdate complete = decode("update whole", FleetUpdate.class);
         assertArrayEquals(new byte[] {120, 1, -1}, complete.configuration);
         assertEquals(200, complete.configurationVersion);
         assertEquals(0, complete.baseVersion);
@@ -208,20 +208,20 @@
         assertEquals(2, complete.members.size());
         assertIsDataPlane(complete.members.get(0));
         assertIsControlPlane(complete.members.get(1));
-        FleetUpdate delta = decoded("update delta", FleetUpdate.class);
+        FleetUpdate delta = decode("update delta", FleetUpdate.class);
         assertArrayEquals(new byte[] {120, 1, 0, 5}, delta.configuration);
         assertEquals(201, delta.configurationVersion);
         assertEquals(200, delta.baseVersion);
         assertNull(delta.endpointList);
         assertNull(delta.members);
-        FleetUpdate endpoints = decoded("update endpoints-only", FleetUpdate.class);
+        FleetUpdate endpoints = decode("update endpoints-only", FleetUpdate.class);
         assertNull(endpoints.configuration);
         assertEquals(0, endpoints.configurationVersion);
         assertEquals(10, endpoints.endpointList.version.fencingToken);
         assertEquals(1, endpoints.endpointList.version.revision);
         assertEquals(List.of(), endpoints.endpointList.endpoints);
         assertNull(endpoints.members);
-        FleetUpdate members = decoded("update members-only", FleetUpdate.class);
+        FleetUpdate members = decode("update members-only", FleetUpdate.class);
         assertNull(members.configuration);
         assertNull(members.endpointList);
         assertEquals(1, members.members.size());
@@ -230,8 +230,8 @@
 
     @Test
     void decodesEndpointLists() throws Exception {
-        assertHasTheThreeEndpoints(decoded("endpoint-list", EndpointList.class));
-        EndpointList empty = decoded("endpoint-list empty", EndpointList.class);
+        assertHasTheThreeEndpoints(decode("endpoint-list", EndpointList.class));
+        EndpointList empty = decode("endpoint-list empty", EndpointList.class);
         assertEquals(2, empty.version.fencingToken);
         assertEquals(3, empty.version.revision);
         assertEquals(List.of(), empty.endpoints);
@@ -272,13 +272,13 @@
 
     @Test
     void decodesHeartbeatsOfControlPlanes() throws Exception {
-        ControlHeartbeat heartbeat = decoded("control-heartbeat", ControlHeartbeat.class);
+        ControlHeartbeat heartbeat = decode("control-heartbeat", ControlHeartbeat.class);
         assertEquals(77, heartbeat.sequence);
         assertEquals(2, heartbeat.sessions.size());
         assertIsDataPlane(heartbeat.sessions.get(0));
         assertIsControlPlane(heartbeat.sessions.get(1));
         assertEquals(List.of("10.0.0.1:7600", "10.0.0.3:7600"), heartbeat.controlAddresses);
-        ControlHeartbeat empty = decoded("control-heartbeat empty", ControlHeartbeat.class);
+        ControlHeartbeat empty = decode("control-heartbeat empty", ControlHeartbeat.class);
         assertEquals(78, empty.sequence);
         assertEquals(List.of(), empty.sessions);
         assertEquals(List.of(), empty.controlAddresses);
@@ -307,7 +307,7 @@
     }
 
     private void assertIsRequest(VoteRequest.Kind kind, long round, String label) throws CorruptFrameException {
-        VoteRequest request = decoded(label, VoteRequest.class);
+        VoteRequest request = decode(label, VoteRequest.class);
         assertEquals(kind, request.kind());
         assertEquals("list", request.duty());
         assertEquals("10.0.0.1:7600#1f", request.candidate());
@@ -319,16 +319,16 @@
 
     @Test
     void decodesVoteReplies() throws Exception {
-        VoteReply granted = decoded("vote-reply granted", VoteReply.class);
+        VoteReply granted = decode("vote-reply granted", VoteReply.class);
         assertEquals(VoteReply.Verdict.GRANTED, granted.verdict());
         assertIsReply(granted, "3kq0z", "10.0.0.1:7600#1f", 22, 6, "10.0.0.1:7600#1f", 3_000);
-        VoteReply rejected = decoded("vote-reply refused", VoteReply.class);
+        VoteReply rejected = decode("vote-reply refused", VoteReply.class);
         assertEquals(VoteReply.Verdict.REJECTED, rejected.verdict());
         assertIsReply(rejected, "3kq0z", "10.0.0.3:7600#2e", 31, 6, "10.0.0.1:7600#1f", 2_500);
-        VoteReply abstained = decoded("vote-reply abstained", VoteReply.class);
+        VoteReply abstained = decode("vote-reply abstained", VoteReply.class);
         assertEquals(VoteReply.Verdict.ABSTAINED, abstained.verdict());
         assertIsReply(abstained, "3kq0z", "c#3", 40, 0, null, 500);
-        VoteReply other = decoded("vote-reply not-the-one-asked", VoteReply.class);
+        VoteReply other = decode("vote-reply not-the-one-asked", VoteReply.class);
         assertEquals(VoteReply.Verdict.WRONG_IDENTITY, other.verdict());
         assertIsReply(other, "other", "c#4", 50, 0, null, 0);
     }
@@ -355,16 +355,16 @@
 
     @Test
     void decodesPrepareAndPromise() throws Exception {
-        Prepare prepare = decoded("prepare", Prepare.class);
+        Prepare prepare = decode("prepare", Prepare.class);
         assertHasParties(prepare, "b91xy");
         assertIsBallot(prepare.ballot());
         assertIsEarlierBallot(prepare.chosenBallot());
-        Promise promise = decoded("promise", Promise.class);
+        Promise promise = decode("promise", Promise.class);
         assertHasParties(promise, "b91xy");
         assertIsBallot(promise.ballot());
         assertIsEarlierBallot(promise.acceptedBallot());
         assertIsJointValue(promise.acceptedValue());
-        Promise withoutValue = decoded("promise without-value", Promise.class);
+        Promise withoutValue = decode("promise without-value", Promise.class);
         assertHasParties(withoutValue, "b91xy");
         assertIsBallot(withoutValue.ballot());
         assertIsNone(withoutValue.acceptedBallot());
@@ -373,18 +373,18 @@
 
     @Test
     void decodesAcceptAcceptedAndReject() throws Exception {
-        Accept accept = decoded("accept", Accept.class);
+        Accept accept = decode("accept", Accept.class);
         assertHasParties(accept, "b91xy");
         assertIsBallot(accept.ballot());
         assertIsJointValue(accept.value());
-        Accept withoutPayload = decoded("accept without-payload", Accept.class);
+        Accept withoutPayload = decode("accept without-payload", Accept.class);
         assertHasParties(withoutPayload, "b91xy");
         assertIsBallot(withoutPayload.ballot());
         assertIsValueWithoutPayload(withoutPayload.value());
-        Accepted accepted = decoded("accepted", Accepted.class);
+        Accepted accepted = decode("accepted", Accepted.class);
         assertHasParties(accepted, "b91xy");
         assertIsBallot(accepted.ballot());
-        Reject reject = decoded("reject", Reject.class);
+        Reject reject = decode("reject", Reject.class);
         assertHasParties(reject, "b91xy");
         assertIsBallot(reject.ballot());
         assertIsEarlierBallot(reject.promisedBallot());
@@ -392,17 +392,17 @@
 
     @Test
     void decodesCatchUpMessagesOfTheRegister() throws Exception {
-        StatusQuery fetching = decoded("status-query fetching", StatusQuery.class);
+        StatusQuery fetching = decode("status-query fetching", StatusQuery.class);
         assertHasParties(fetching, "");
         assertEquals(600, fetching.queryId());
         assertIsEarlierBallot(fetching.chosenBallot());
         assertTrue(fetching.wantsValue());
-        StatusQuery query = decoded("status-query", StatusQuery.class);
+        StatusQuery query = decode("status-query", StatusQuery.class);
         assertHasParties(query, "");
         assertEquals(-601, query.queryId());
         assertIsEarlierBallot(query.chosenBallot());
         assertFalse(query.wantsValue());
-        StatusReport report = decoded("status-report", StatusReport.class);
+        StatusReport report = decode("status-report", StatusReport.class);
         assertHasParties(report, "b91xy");
         assertEquals(600, report.queryId());
         assertIsBallot(report.acceptedBallot());
@@ -410,7 +410,7 @@
         assertIsEarlierBallot(report.chosenBallot());
         assertEquals(40, report.chosenRevision());
         assertIsValueWithoutPayload(report.chosenValue());
-        StatusReport empty = decoded("status-report nothing", StatusReport.class);
+        StatusReport empty = decode("status-report nothing", StatusReport.class);
         assertHasParties(empty, "b91xy");
         assertEquals(5, empty.queryId());
         assertIsNone(empty.acceptedBallot());
@@ -418,7 +418,7 @@
         assertIsNone(empty.chosenBallot());
         assertEquals(0, empty.chosenRevision());
         assertNull(empty.chosenValue());
-        Chosen chosen = decoded("chosen", Chosen.class);
+        Chosen chosen = decode("chosen", Chosen.class);
         assertHasParties(chosen, "b91xy");
         assertIsBallot(chosen.ballot());
         assertEquals(42, chosen.revision());
--- a/store/src/main/java/dewplank/store/AcceptorStore.java
+++ b/store/src/main/java/dewplank/store/AcceptorStore.java
@@ -22,10 +22,16 @@
     private static final String FILE_NAME = "acceptor.mv";
     private static final String NEXT_FILE_NAME = "acceptor.mv.next";
 
-    /** The disk quota divided by this is the maximum file size: a rewrite needs two files, and others need disk too. */
+    /**
+     * The maximum file size is at most the disk quota divided by this. Two files exist during a rewrite, and other
+     * files need disk space too.
+     */
     private static final int QUOTA_DIVISOR = 4;
 
-    /** Larger files would only waste disk space, since a rewrite writes a few hundred kilobytes at most. */
+    /**
+     * The maximum file size, unless the disk quota requires a lower one. Larger files would only waste disk space,
+     * since a rewrite writes a few hundred kilobytes at most.
+     */
     private static final long MAX_FILE_BYTES = 8L << 20;
 
     private static final int IDENTITY_BITS = 80;
--- a/store/src/main/java/dewplank/store/BootstrapSeeds.java
+++ b/store/src/main/java/dewplank/store/BootstrapSeeds.java
@@ -28,7 +28,7 @@
 
     /**
      * Returns the stored seeds. If there are none, an initial start stores and syncs the configured seeds before it
-     * returns them. Must be called before anything else is written that makes the disk appear used.
+     * returns them. Must be called before any other write that makes the disk appear used.
      *
      * @param configuredSeeds the seeds of the current settings; returned unchanged if none are stored
      * @param initialStart whether the fleet starts for the first time
--- a/store/src/main/java/dewplank/store/ChecksummedFile.java
+++ b/store/src/main/java/dewplank/store/ChecksummedFile.java
@@ -16,7 +16,10 @@
 public final class ChecksummedFile {
     private static final int CHECKSUM_BYTES = Long.BYTES;
 
-    /** Far above the largest endpoint list. A larger file was not written here, and would not fit into memory. */
+    /**
+     * Maximum file size, far above the size of the largest endpoint list. A larger file was not written by this class
+     * and would not fit into memory.
+     */
     static final long MAX_FILE_BYTES = 16 * 1024 * 1024;
 
     private static final String NEXT_SUFFIX = ".next";
--- a/store/src/main/java/dewplank/store/FounderIdentities.java
+++ b/store/src/main/java/dewplank/store/FounderIdentities.java
@@ -11,7 +11,7 @@
  * The first identity that a process received of each founder without a disk.
  *
  * <p>Such a founder has another identity in each incarnation. The first one that a process receives is stored before
- * any vote of it is counted, and is not replaced. Otherwise a process that restarts could mistake a later incarnation,
+ * a vote of it is counted, and is not replaced. Otherwise a process that restarts could mistake a later incarnation,
  * which has lost its votes, for the original acceptor. Loaded before the event loop runs, stored on the disk thread.
  */
 public final class FounderIdentities {
--- a/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
+++ b/store/src/main/java/dewplank/store/SingleThreadDiskExecutor.java
@@ -46,7 +46,8 @@
     public void close() {
         closed = true;
         queue.clear();
-        queue.add(WAKE_UP); // an interrupt would close the channel that the current task writes to
+        // The thread is not interrupted, since an interrupt would close the channel that the current task writes to.
+        queue.add(WAKE_UP);
     }
 
     private void runQueue() {
--- a/store/src/main/java/dewplank/store/StateCodec.java
+++ b/store/src/main/java/dewplank/store/StateCodec.java
@@ -21,6 +21,7 @@
  */
 final class StateCodec {
     private static final int VERSION = 1;
+    /** The length that is written for a payload that is null. */
     private static final int NO_PAYLOAD = -1;
 
     private StateCodec() {}
--- a/store/src/main/java/dewplank/store/StateFile.java
+++ b/store/src/main/java/dewplank/store/StateFile.java
@@ -22,6 +22,7 @@
 final class StateFile {
     private static final int CACHE_MB = 1;
     private static final int MAX_PAGE_BYTES = 4096;
+    /** The key that a header contains instead of the key of a value if there is no value. */
     private static final long NO_VALUE = 0;
 
     // Names of maps and keys in the file, which earlier releases use too.
--- a/store/src/test/java/dewplank/store/AcceptorStoreStepsTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreStepsTest.java
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Recovers the last saved state or the one being saved, and the same state again after a power loss. */
+    /** Checks that a restart recovers the last saved state or the next one, and the same state after a power loss. */
     private void restart(Termination termination, SplittableRandom random) throws StoreException {
         disk.recoverWrites();
         if (termination != Termination.KILLED) {
@@ -92,22 +92,24 @@
                             : MemoryFiles.Unsynced.RANDOM,
                     random);
         }
-        AcceptorStore found = open();
+        AcceptorStore reopened = open();
         if (saved != null) {
-            Ballot ballot = found.recovered().promisedBallot();
-            assertEquals(saved.identity(), found.recovered().identity());
+            Ballot ballot = reopened.recovered().promisedBallot();
+            assertEquals(saved.identity(), reopened.recovered().identity());
             assertTrue(ballot.equals(saved.promisedBallot()) || ballot.equals(next.promisedBallot()), "has " + ballot);
-            long token = found.fencingTokens().getOrDefault(ROLE, 0L);
+            long token = reopened.fencingTokens().getOrDefault(ROLE, 0L);
             assertTrue(
                     token == savedToken || token == nextToken, token + " is neither the saved token nor the next one");
         }
         disk.losePower(MemoryFiles.Unsynced.LOST, random);
-        AcceptorStore again = open();
-        assertEquals(found.recovered().identity(), again.recovered().identity());
-        assertEquals(found.recovered().promisedBallot(), again.recovered().promisedBallot());
-        assertEquals(found.recovered().acceptedValue(), again.recovered().acceptedValue());
-        assertEquals(found.fencingTokens(), again.fencingTokens());
-        assertEquals(1, disk.count(), "number of files");
+        AcceptorStore reopenedAgain = open();
+        assertEquals(reopened.recovered().identity(), reopenedAgain.recovered().identity());
+        assertEquals(
+                reopened.recovered().promisedBallot(), reopenedAgain.recovered().promisedBallot());
+        assertEquals(
+                reopened.recovered().acceptedValue(), reopenedAgain.recovered().acceptedValue());
+        assertEquals(reopened.fencingTokens(), reopenedAgain.fencingTokens());
+        assertEquals(1, disk.fileCount(), "number of files");
     }
 
     private AcceptorStore open() throws StoreException {
--- a/store/src/test/java/dewplank/store/AcceptorStoreTest.java
+++ b/store/src/test/java/dewplank/store/AcceptorStoreTest.java
@@ -22,7 +22,7 @@
     private static final int LARGE_VALUE_BYTES = 120_000;
     private static final int LARGEST_VALUE_BYTES = 200_000;
 
-    /** The largest file, one save that exceeds it, and the file of a rewrite; each state has two values. */
+    /** Limit of the total size: the largest file, one save beyond it, and a rewritten file; a state has two values. */
     private static final long MAX_FILES_BYTES = (8L << 20) + 5 * LARGEST_VALUE_BYTES;
 
     private static final int LARGE_SAVES = 2000;
@@ -145,10 +145,10 @@
     }
 
     @Test
-    void aFirstOpeningIsRepeatedIfItWasInterrupted() throws StoreException {
+    void anInterruptedCreationIsRepeated() throws StoreException {
         for (int writes = 0; writes < 8; writes++) {
             MemoryFiles disk = new MemoryFiles();
-            boolean opened = opensWith(disk, writes);
+            boolean opened = opensDespiteFailureAfter(disk, writes);
             disk.losePower(MemoryFiles.Unsynced.LOST, random);
             Assertions.assertEquals(
                     !opened,
@@ -158,10 +158,10 @@
 
     /** The file may have been renamed without a sync. It is then complete, and its identity has never voted. */
     @Test
-    void anInterruptedFirstOpeningMayHaveBeenCompleted() throws StoreException {
+    void anInterruptedCreationMayHaveBeenCompleted() throws StoreException {
         for (int trial = 0; trial < 80; trial++) {
             MemoryFiles disk = new MemoryFiles();
-            boolean opened = opensWith(disk, trial % 8);
+            boolean opened = opensDespiteFailureAfter(disk, trial % 8);
             disk.losePower(MemoryFiles.Unsynced.RANDOM, random);
             AcceptorStore reopened = AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES);
             Assertions.assertFalse(opened && reopened.isNew());
@@ -169,7 +169,7 @@
         }
     }
 
-    private static boolean opensWith(MemoryFiles disk, int writes) {
+    private static boolean opensDespiteFailureAfter(MemoryFiles disk, int writes) {
         disk.failAfterWrites(writes);
         try {
             AcceptorStore.open(DIRECTORY, disk, DISK_QUOTA_BYTES);
@@ -184,11 +184,11 @@
         AcceptorStore store = open();
         String identity = store.recovered().identity();
         store.save(state(identity, 1, 100));
-        files.fill(true);
+        files.setFull(true);
         Assertions.assertThrows(StoreException.class, () -> store.save(state(identity, 2, 100)));
         Assertions.assertThrows(StoreException.class, () -> store.save(state(identity, 3, 100)));
         assertSame(state(identity, 1, 100), open().recovered());
-        files.fill(false);
+        files.setFull(false);
         store.save(state(identity, 4, 100));
         assertSame(state(identity, 4, 100), open().recovered());
     }
@@ -221,7 +221,7 @@
             for (int round = 1; round < 20; round++) {
                 store.save(state(identity, round, trialRandom.nextInt(6000)));
             }
-            failOneSave(store, disk, trialRandom);
+            failSaves(store, disk, trialRandom);
             disk.recoverWrites();
             DurableState found = AcceptorStore.open(DIRECTORY, disk, quotaBytes).recovered();
             disk.losePower(trial % 3 == 0 ? MemoryFiles.Unsynced.LOST : MemoryFiles.Unsynced.RANDOM, trialRandom);
@@ -230,7 +230,7 @@
     }
 
     /** Makes a save fail at any of its writes or syncs; a second save may fail during the rewrite. */
-    private static void failOneSave(AcceptorStore store, MemoryFiles disk, SplittableRandom trialRandom) {
+    private static void failSaves(AcceptorStore store, MemoryFiles disk, SplittableRandom trialRandom) {
         for (int failures = trialRandom.nextInt(1, 3); failures > 0; failures--) {
             if (trialRandom.nextBoolean()) {
                 disk.failSyncs(true);
@@ -246,7 +246,7 @@
         }
     }
 
-    /** The file that a failed rewrite leaves behind may be unreadable. */
+    /** A failed rewrite may leave an unreadable file, which the next rewrite replaces. */
     @Test
     void aRewriteStartsOverAfterAFailedOne() throws StoreException {
         AcceptorStore store = open();
@@ -259,7 +259,7 @@
         files.truncate(NEXT_FILE, 100);
         store.save(state(identity, 3, 100));
         assertSame(state(identity, 3, 100), open().recovered());
-        Assertions.assertEquals(1, files.count());
+        Assertions.assertEquals(1, files.fileCount());
     }
 
     @Test
@@ -273,7 +273,7 @@
         assertSame(state(store.recovered().identity(), 399, LARGE_VALUE_BYTES), open().recovered());
     }
 
-    /** Days of changes to a value as large as that of hundreds of routes, with all simulated disk faults. */
+    /** Saves as many changes as occur in days, with a value for hundreds of routes and all simulated disk faults. */
     @Test
     void thousandsOfLargeSavesDoNotExceedTheFileLimit() throws StoreException {
         AcceptorStore store = open();
@@ -307,7 +307,7 @@
     private void injectFault(int round) {
         int within = round % 250;
         if (within == 100 || within == 120) {
-            files.fill(within == 100);
+            files.setFull(within == 100);
         } else if (within == 0 && round % 500 == 0) {
             files.failAfterWrites(random.nextInt(2));
         }
--- a/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
+++ b/store/src/test/java/dewplank/store/BootstrapSeedsTest.java
@@ -10,8 +10,8 @@
 
 class BootstrapSeedsTest {
     private static final Path DIRECTORY = Path.of("data");
-    private static final List<String> FIRST = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7");
-    private static final List<String> LATER = List.of("10.0.0.2:7", "10.0.0.3:7", "10.0.0.9:7");
+    private static final List<String> FIRST_SEEDS = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7");
+    private static final List<String> LATER_SEEDS = List.of("10.0.0.2:7", "10.0.0.3:7", "10.0.0.9:7");
 
     private final MemoryFiles files = new MemoryFiles();
 
@@ -21,28 +21,28 @@
 
     @Test
     void storedSeedsTakePrecedenceOverLaterSettings() throws StoreException {
-        assertEquals(FIRST, seeds().loadOrStore(FIRST, true));
-        assertEquals(FIRST, seeds().loadOrStore(LATER, true));
-        assertEquals(FIRST, seeds().loadOrStore(LATER, false));
+        assertEquals(FIRST_SEEDS, seeds().loadOrStore(FIRST_SEEDS, true));
+        assertEquals(FIRST_SEEDS, seeds().loadOrStore(LATER_SEEDS, true));
+        assertEquals(FIRST_SEEDS, seeds().loadOrStore(LATER_SEEDS, false));
     }
 
     @Test
     void storedSeedsSurviveAPowerLossRightAfterTheWrite() throws StoreException {
-        seeds().loadOrStore(FIRST, true);
+        seeds().loadOrStore(FIRST_SEEDS, true);
         files.losePower(MemoryFiles.Unsynced.LOST, new SplittableRandom(1));
-        assertEquals(FIRST, seeds().loadOrStore(LATER, false));
+        assertEquals(FIRST_SEEDS, seeds().loadOrStore(LATER_SEEDS, false));
     }
 
-    /** The identity of a disk that is empty at a later start is not among the first acceptors, so any seeds will do. */
+    /** A disk that is empty at a later start has an identity outside the first acceptors, so any seeds are valid. */
     @Test
     void aLaterStartStoresNothing() throws StoreException {
-        assertEquals(LATER, seeds().loadOrStore(LATER, false));
-        assertEquals(FIRST, seeds().loadOrStore(FIRST, false));
+        assertEquals(LATER_SEEDS, seeds().loadOrStore(LATER_SEEDS, false));
+        assertEquals(FIRST_SEEDS, seeds().loadOrStore(FIRST_SEEDS, false));
     }
 
     @Test
     void failsIfTheDiskRejectsTheWrite() {
-        files.fill(true);
-        assertThrows(StoreException.class, () -> seeds().loadOrStore(FIRST, true));
+        files.setFull(true);
+        assertThrows(StoreException.class, () -> seeds().loadOrStore(FIRST_SEEDS, true));
     }
 }
--- a/store/src/test/java/dewplank/store/FounderIdentitiesTest.java
+++ b/store/src/test/java/dewplank/store/FounderIdentitiesTest.java
@@ -41,7 +41,7 @@
     @Test
     void aDiskThatRejectsTheWriteKeepsTheOldContent() throws StoreException {
         identities().store(STORED);
-        files.fill(true);
+        files.setFull(true);
         assertThrows(StoreException.class, () -> identities().store(StoredIdentities.NONE));
         assertEquals(STORED, identities().load());
     }
--- a/store/src/test/java/dewplank/store/MemoryFiles.java
+++ b/store/src/test/java/dewplank/store/MemoryFiles.java
@@ -80,7 +80,7 @@
     private int syncs;
     private long maxTotalBytes;
 
-    void fill(boolean isFull) {
+    void setFull(boolean isFull) {
         full = isFull;
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** The number of files. */
-    int count() {
+    int fileCount() {
         return names.size();
     }
 
--- a/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
+++ b/store/src/test/java/dewplank/store/SingleThreadDiskExecutorTest.java
@@ -63,7 +63,7 @@
         CountDownLatch started = new CountDownLatch(1);
         submit("blocked", () -> {
             started.countDown();
-            awaitQuietly(blocked);
+            awaitLatch(blocked);
         });
         started.await();
         for (int index = 0; index <= SingleThreadDiskExecutor.MAX_QUEUED_TASKS; index++) {
@@ -84,7 +84,7 @@
         Path file = directory.resolve("written");
         submit("in progress", () -> {
             started.countDown();
-            awaitQuietly(closed);
+            awaitLatch(closed);
             try (StoreFile written = new DiskFiles().open(file)) {
                 written.write(ByteBuffer.wrap(new byte[] {1, 2, 3}), 0);
                 written.sync();
@@ -104,7 +104,7 @@
         Assertions.assertEquals(List.of("in progress done", "late failed"), results);
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException interrupted) {
