--- a/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
+++ b/lab/src/test/java/dewplank/lab/ExperimentFileTest.java
@@ -25,8 +25,8 @@
 
     @Test
     void anUnknownScenarioIsReported() {
-        assertTrue(
-                messageOf("name = \"x\"\nscenarios = [\"nowhere\"]").contains("scenario file nowhere does not exist"));
+        assertTrue(messageOf("name = \"x\"\nscenarios = [\"nowhere\"]")
+                .contains("scenario file nowhere.toml does not exist"));
     }
 
     @Test
