--- a/lab/src/main/java/dewplank/lab/LiveTable.java
+++ b/lab/src/main/java/dewplank/lab/LiveTable.java
@@ -43,10 +43,10 @@
             case REFUSED -> refused++;
             case FAILED, UNREACHABLE, ABANDONED -> failed++;
             case RECEIVED -> sends++;
-            case SERVER_DOWN -> print("server " + event.server()
-                    + (event.value() == MACHINE_VANISHED ? " vanished with its machine" : " stopped"));
-            case SERVER_COLLAPSED -> print("server " + event.server() + " collapsed: too much work while cold");
-            case SERVER_STARTED -> print("server " + event.server() + " started cold");
+            case SERVER_DOWN -> print(
+                    "server " + event.server() + (event.value() == MACHINE_VANISHED ? " went silent" : " died"));
+            case SERVER_COLLAPSED -> print("server " + event.server() + " broke down, cold, under too much work");
+            case SERVER_STARTED -> print("server " + event.server() + " came back, cold");
             case SIDECAR_KILLED -> print("sidecar " + event.sidecar() + " was killed");
             default -> {}
         }
